--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -15,7 +15,7 @@
 use crate::event::RequestId;
 use crate::message::Message;
 use crate::node::Gateway;
-use crate::request::flow::State;
+use crate::request::flow::Phase;
 use crate::timer::Timer;
 
 /// How long a permit is waited for: some round trips between availability zones.
@@ -41,7 +41,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        flow.state = State::Permit {
+        flow.state = Phase::Permit {
             server: server.clone(),
             version,
             until,
@@ -103,7 +103,7 @@
         out: &mut Effects,
     ) {
         let version = match self.flows.get(&request).map(|flow| &flow.state) {
-            Some(State::Permit {
+            Some(Phase::Permit {
                 server: of,
                 version,
                 ..
@@ -124,7 +124,7 @@
     /// Goes on with a request whose permit did not come in time.
     pub(crate) fn permit_due(&mut self, request: RequestId, out: &mut Effects) {
         match self.flows.get(&request).map(|flow| &flow.state) {
-            Some(State::Permit { server, until, .. }) if *until <= self.now => {
+            Some(Phase::Permit { server, until, .. }) if *until <= self.now => {
                 let server = server.clone();
                 self.notices.close(&server, self.now + UNANSWERED);
                 self.seek(request, out);
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -28,7 +28,7 @@
 
 /// Where a request stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum State {
+pub(crate) enum Phase {
     /// It waits for tokens of its account.
     Charging,
     /// It waits for the scheduler's answer.
@@ -73,7 +73,7 @@
     /// When its final answer is due.
     pub(crate) ends: Instant,
     /// Where it stands.
-    pub(crate) state: State,
+    pub(crate) state: Phase,
     /// When it was last sent; its arrival before.
     pub(crate) sent: Instant,
     /// How often it was sent.
@@ -107,7 +107,7 @@
             service,
             arrived: came,
             ends: came + patience,
-            state: State::Waiting,
+            state: Phase::Waiting,
             sent: came,
             sends: 0,
             ran: 0,
@@ -134,8 +134,8 @@
     /// The server where it is, if it was sent.
     pub(crate) fn server(&self) -> Option<&Server> {
         match &self.state {
-            State::Sent { server, .. } => Some(server),
-            State::Charging | State::Waiting | State::Permit { .. } => None,
+            Phase::Sent { server, .. } => Some(server),
+            Phase::Charging | Phase::Waiting | Phase::Permit { .. } => None,
         }
     }
 }
@@ -197,7 +197,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        flow.state = State::Waiting;
+        flow.state = Phase::Waiting;
         let service = flow.service.clone();
         let engine = self
             .index
@@ -241,7 +241,7 @@
         };
         flow.sends += 1;
         flow.sent = self.now;
-        flow.state = State::Sent {
+        flow.state = Phase::Sent {
             server: server.clone(),
             begun: false,
         };
@@ -285,7 +285,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        if let State::Sent { begun, .. } = &mut flow.state {
+        if let Phase::Sent { begun, .. } = &mut flow.state {
             *begun = true;
         }
         let took = self.now.since(flow.arrived);
@@ -351,7 +351,7 @@
         let waiting = self
             .flows
             .get(&request)
-            .is_some_and(|flow| flow.state == State::Waiting);
+            .is_some_and(|flow| flow.state == Phase::Waiting);
         let listed = self.takes_work(server);
         match waiting {
             true if listed => self.send_to(request, server, version, out),
