--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -16,7 +16,7 @@
 use crate::measure;
 use crate::message::Message;
 use crate::node::Gateway;
-use crate::request::flow::{State as Flow, Why};
+use crate::request::flow::{Phase, Why};
 use crate::timer::Timer;
 
 /// How much longer than a pool has a draw may stay without an answer before another VM is asked.
@@ -103,7 +103,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        flow.state = Flow::Charging;
+        flow.state = Phase::Charging;
         let tokens = flow.cost;
         let Some((share, terms)) = self.share(account) else {
             return;
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -17,7 +17,7 @@
 use crate::measure;
 use crate::message::{Holding, Message, Progress, Running, Want};
 use crate::node::Gateway;
-use crate::request::flow::State as Flow;
+use crate::request::flow::Phase;
 use crate::timer::Timer;
 
 /// The time without any word of the holder after which this VM goes on by itself: three of the holder's digests.
@@ -367,7 +367,7 @@
         let waiting: Vec<RequestId> = self
             .flows
             .iter()
-            .filter(|(_, f)| f.service == *service && f.state == Flow::Waiting)
+            .filter(|(_, f)| f.service == *service && f.state == Phase::Waiting)
             .map(|(id, _)| *id)
             .collect();
         for request in waiting {
@@ -403,7 +403,7 @@
         let mut wants = Vec::new();
         // What waits for tokens of its account or for leave at a server wants no place yet.
         let unasked = |f: &crate::request::flow::Flow| {
-            matches!(f.state, Flow::Charging | Flow::Permit { .. })
+            matches!(f.state, Phase::Charging | Phase::Permit { .. })
         };
         let asked = |f: &crate::request::flow::Flow| f.service == *service && !unasked(f);
         for (request, flow) in self.flows.iter().filter(|(_, flow)| asked(flow)) {
