--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -103,7 +103,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        flow.state = Phase::Charging;
+        flow.phase = Phase::Charging;
         let tokens = flow.cost;
         let Some((share, terms)) = self.share(account) else {
             return;
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -41,7 +41,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        flow.state = Phase::Permit {
+        flow.phase = Phase::Permit {
             server: server.clone(),
             version,
             until,
@@ -102,7 +102,7 @@
         answer: Result<(), Span>,
         out: &mut Effects,
     ) {
-        let version = match self.flows.get(&request).map(|flow| &flow.state) {
+        let version = match self.flows.get(&request).map(|flow| &flow.phase) {
             Some(Phase::Permit {
                 server: of,
                 version,
@@ -123,7 +123,7 @@
 
     /// Goes on with a request whose permit did not come in time.
     pub(crate) fn permit_due(&mut self, request: RequestId, out: &mut Effects) {
-        match self.flows.get(&request).map(|flow| &flow.state) {
+        match self.flows.get(&request).map(|flow| &flow.phase) {
             Some(Phase::Permit { server, until, .. }) if *until <= self.now => {
                 let server = server.clone();
                 self.notices.close(&server, self.now + UNANSWERED);
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -213,7 +213,7 @@
         let waits = |f: &flow::Flow| {
             f.call.fingerprint == fingerprint
                 && f.server().is_none()
-                && f.state != flow::Phase::Charging
+                && f.phase != flow::Phase::Charging
         };
         let waiting = self.flows.iter().filter(|(_, flow)| waits(flow));
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -197,7 +197,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        flow.state = Phase::Waiting;
+        flow.phase = Phase::Waiting;
         let service = flow.service.clone();
         let engine = self
             .index
@@ -241,7 +241,7 @@
         };
         flow.sends += 1;
         flow.sent = self.now;
-        flow.state = Phase::Sent {
+        flow.phase = Phase::Sent {
             server: server.clone(),
             begun: false,
         };
@@ -285,7 +285,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        if let Phase::Sent { begun, .. } = &mut flow.state {
+        if let Phase::Sent { begun, .. } = &mut flow.phase {
             *begun = true;
         }
         let took = self.now.since(flow.arrived);
@@ -351,7 +351,7 @@
         let waiting = self
             .flows
             .get(&request)
-            .is_some_and(|flow| flow.state == Phase::Waiting);
+            .is_some_and(|flow| flow.phase == Phase::Waiting);
         let listed = self.takes_work(server);
         match waiting {
             true if listed => self.send_to(request, server, version, out),
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -74,7 +74,7 @@
         let Some(flow) = self.flows.get_mut(&request) else {
             return;
         };
-        let Phase::Sent { server, begun } = flow.state.clone() else {
+        let Phase::Sent { server, begun } = flow.phase.clone() else {
             return;
         };
         flow.failed.push(server.clone());
@@ -98,7 +98,7 @@
         self.tell_progress(request, Progress::Failed(ran, cause), out);
         // It is at no server now, and its end must not count there once more.
         if let Some(flow) = self.flows.get_mut(&request) {
-            flow.state = Phase::Waiting;
+            flow.phase = Phase::Waiting;
         }
         self.after_failure(request, ran, cause, begun, out);
     }
@@ -156,7 +156,7 @@
             return;
         };
         if flow.ends > self.now {
-            let unheard = flow.state == Phase::Waiting && flow.call.work.is_some();
+            let unheard = flow.phase == Phase::Waiting && flow.call.work.is_some();
             if unheard && self.now.since(flow.arrived) >= ASK_AGAIN {
                 self.ask_place(request, out);
             }
@@ -164,8 +164,8 @@
             return;
         }
         measure::count(out, Figure::Refused, &flow.service, "timed_out");
-        let begun = matches!(flow.state, Phase::Sent { begun: true, .. });
-        let sent = matches!(flow.state, Phase::Sent { .. });
+        let begun = matches!(flow.phase, Phase::Sent { begun: true, .. });
+        let sent = matches!(flow.phase, Phase::Sent { .. });
         let (id, server) = (&flow.call.id, flow.server().map_or("-", Server::as_str));
         Self::log(
             out,
@@ -193,7 +193,7 @@
         if self
             .flows
             .get(&request)
-            .is_some_and(|flow| flow.state == Phase::Waiting)
+            .is_some_and(|flow| flow.phase == Phase::Waiting)
         {
             self.give_up(request, Some(after), Why::Scheduler, out);
         }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -367,7 +367,7 @@
         let waiting: Vec<RequestId> = self
             .flows
             .iter()
-            .filter(|(_, f)| f.service == *service && f.state == Phase::Waiting)
+            .filter(|(_, f)| f.service == *service && f.phase == Phase::Waiting)
             .map(|(id, _)| *id)
             .collect();
         for request in waiting {
@@ -403,7 +403,7 @@
         let mut wants = Vec::new();
         // What waits for tokens of its account or for leave at a server wants no place yet.
         let unasked = |f: &crate::request::flow::Flow| {
-            matches!(f.state, Phase::Charging | Phase::Permit { .. })
+            matches!(f.phase, Phase::Charging | Phase::Permit { .. })
         };
         let asked = |f: &crate::request::flow::Flow| f.service == *service && !unasked(f);
         for (request, flow) in self.flows.iter().filter(|(_, flow)| asked(flow)) {
