--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -73,7 +73,7 @@
     /// When its final answer is due.
     pub(crate) ends: Instant,
     /// Where it stands.
-    pub(crate) state: Phase,
+    pub(crate) phase: Phase,
     /// When it was last sent; its arrival before.
     pub(crate) sent: Instant,
     /// How often it was sent.
@@ -107,7 +107,7 @@
             service,
             arrived: came,
             ends: came + patience,
-            state: Phase::Waiting,
+            phase: Phase::Waiting,
             sent: came,
             sends: 0,
             ran: 0,
@@ -133,7 +133,7 @@
 
     /// The server where it is, if it was sent.
     pub(crate) fn server(&self) -> Option<&Server> {
-        match &self.state {
+        match &self.phase {
             Phase::Sent { server, .. } => Some(server),
             Phase::Charging | Phase::Waiting | Phase::Permit { .. } => None,
         }
