--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -51,7 +51,7 @@
             let answer = self.permit(server);
             self.permitted(request, server, answer, out);
         } else {
-            self.timers.set(until, Timer::Flow(request));
+            self.timers.set(until, Timer::Request(request));
             let message = Message::Permit(request, server.clone());
             self.send(&issuer, message, out);
         }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -173,7 +173,7 @@
         budget.request(self.now, self.settings.tuning.retry_window);
         let flow = Flow::new(call, account, route, service, came);
         let fingerprint = flow.call.fingerprint;
-        self.timers.set(flow.ends, Timer::Flow(request));
+        self.timers.set(flow.ends, Timer::Request(request));
         self.flows.insert(request, flow);
         match self.quarantine.left(fingerprint, self.now) {
             Some(left) => self.give_up(request, Some(left), Why::Quarantined, out),
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -61,7 +61,7 @@
             scheduler.want(now, &me, want);
             return;
         }
-        self.timers.set(now + ASK_AGAIN, Timer::Flow(request));
+        self.timers.set(now + ASK_AGAIN, Timer::Request(request));
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         match client.holder.clone() {
             Some(holder) if !client.silent => self.send(&holder, Message::Want(service, want), out),
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A request's time is over.
-    Flow(RequestId),
+    Request(RequestId),
     /// This VM's own entry.
     Registration,
     /// The leaderships and their lease.
