--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -27,7 +27,7 @@
 use crate::measure;
 use crate::message::Message;
 use crate::request::budget::Budget;
-use crate::request::flow::Flow;
+use crate::request::flow::RequestState;
 use crate::request::load_balancer::Row;
 use crate::request::notice;
 use crate::request::quarantine;
@@ -58,7 +58,7 @@
     /// What backend servers said of themselves.
     pub(crate) notices: notice::Table,
     /// The requests of this VM's callers.
-    pub(crate) flows: FxHashMap<RequestId, Flow>,
+    pub(crate) flows: FxHashMap<RequestId, RequestState>,
     /// The budgets of second sends.
     pub(crate) budgets: BTreeMap<Service, Budget>,
     /// What this VM knows of the schedulers.
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -210,7 +210,7 @@
             .insert(self.now, fingerprint, until);
         let detail = format!("call={fingerprint} by={by} for={length}");
         Self::log(out, Code::RequestQuarantined, detail);
-        let waits = |f: &flow::Flow| {
+        let waits = |f: &flow::RequestState| {
             f.call.fingerprint == fingerprint
                 && f.server().is_none()
                 && f.phase != flow::Phase::Charging
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -53,7 +53,7 @@
 
 /// One request.
 #[derive(Debug)]
-pub(crate) struct Flow {
+pub(crate) struct RequestState {
     /// What the caller asks.
     pub(crate) call: Call,
     /// Its route, as it was at the arrival.
@@ -86,7 +86,7 @@
     pub(crate) failed: Vec<Server>,
 }
 
-impl Flow {
+impl RequestState {
     fn new(
         call: Call,
         account: Option<Arc<Account>>,
@@ -171,7 +171,7 @@
         let service = self.target(&route.targets);
         let budget = self.budgets.entry(service.clone()).or_default();
         budget.request(self.now, self.settings.tuning.retry_window);
-        let flow = Flow::new(call, account, route, service, came);
+        let flow = RequestState::new(call, account, route, service, came);
         let fingerprint = flow.call.fingerprint;
         self.timers.set(flow.ends, Timer::Request(request));
         self.flows.insert(request, flow);
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -402,10 +402,10 @@
         let mut running = Vec::new();
         let mut wants = Vec::new();
         // What waits for tokens of its account or for leave at a server wants no place yet.
-        let unasked = |f: &crate::request::flow::Flow| {
+        let unasked = |f: &crate::request::flow::RequestState| {
             matches!(f.phase, Phase::Charging | Phase::Permit { .. })
         };
-        let asked = |f: &crate::request::flow::Flow| f.service == *service && !unasked(f);
+        let asked = |f: &crate::request::flow::RequestState| f.service == *service && !unasked(f);
         for (request, flow) in self.flows.iter().filter(|(_, flow)| asked(flow)) {
             match (flow.server(), &flow.call.work) {
                 (Some(server), Some(work)) => running.push(Running {
