--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -41,7 +41,7 @@
     /// Charges a request to its account, if that has a limit, and goes on with it when there are tokens.
     pub(crate) fn charge(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let cost = flow.cost;
@@ -68,7 +68,7 @@
 
     /// A request's tokens are taken.
     fn charged(&mut self, request: RequestId, out: &mut Effects) {
-        if let Some(flow) = self.flows.get_mut(&request) {
+        if let Some(flow) = self.in_flight.get_mut(&request) {
             flow.charged = true;
             let account = flow.account.as_ref().map(|account| &account.name);
             measure::tokens(out, account, flow.cost, "admitted");
@@ -78,7 +78,7 @@
 
     /// Gives the tokens of a request back that did not run.
     pub(crate) fn refund(&mut self, request: RequestId) {
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(flow) = self.in_flight.get_mut(&request) else {
             return;
         };
         let charged = std::mem::take(&mut flow.charged);
@@ -100,7 +100,7 @@
     fn draw(&mut self, account: &Tenant, request: RequestId, tries: u32, out: &mut Effects) {
         let until = self.now + pool::pause(self.fleet()) + ANSWER_MARGIN;
         let (to, number) = (self.pool_keeper(), self.rng.random());
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(flow) = self.in_flight.get_mut(&request) else {
             return;
         };
         flow.phase = Phase::Charging;
@@ -203,7 +203,7 @@
             Ok(more) => {
                 share.bucket.put(more, terms.most);
                 // The caller may have left meanwhile.
-                if self.flows.contains_key(&request) {
+                if self.in_flight.contains_key(&request) {
                     self.charged(request, out);
                 } else {
                     self.give_back(&grant.account, tokens);
@@ -219,7 +219,7 @@
     /// Refuses a request that its account has no tokens for. Callers are told times that differ, so that they don't come back together.
     fn over_limit(&mut self, request: RequestId, after: Span, out: &mut Effects) {
         let spread = Span(self.rng.random_range(0..=after.0 / 2));
-        if let Some(flow) = self.flows.get(&request) {
+        if let Some(flow) = self.in_flight.get(&request) {
             let account = flow.account.as_ref().map(|account| &account.name);
             measure::tokens(out, account, flow.cost, "refused");
         }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -58,7 +58,7 @@
     /// What backend servers said of themselves.
     pub(crate) notices: notice::Table,
     /// The requests of this VM's callers.
-    pub(crate) flows: FxHashMap<RequestId, RequestState>,
+    pub(crate) in_flight: FxHashMap<RequestId, RequestState>,
     /// The budgets of second sends.
     pub(crate) budgets: BTreeMap<Service, Budget>,
     /// What this VM knows of the schedulers.
@@ -104,7 +104,7 @@
             membership: Membership::default(),
             servers: BTreeMap::new(),
             notices: notice::Table::default(),
-            flows: FxHashMap::default(),
+            in_flight: FxHashMap::default(),
             budgets: BTreeMap::new(),
             scheduler_clients: BTreeMap::new(),
             schedulers: BTreeMap::new(),
@@ -177,7 +177,7 @@
     /// The requests in progress.
     #[must_use]
     pub fn open(&self) -> usize {
-        self.flows.len() + self.startup_queue.len()
+        self.in_flight.len() + self.startup_queue.len()
     }
 
     /// Everything that does not hold together, as readable text; empty where all is well.
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -38,7 +38,7 @@
             return;
         }
         let until = self.now + ANSWER;
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(flow) = self.in_flight.get_mut(&request) else {
             return;
         };
         flow.phase = Phase::Permit {
@@ -102,7 +102,7 @@
         answer: Result<(), Span>,
         out: &mut Effects,
     ) {
-        let version = match self.flows.get(&request).map(|flow| &flow.phase) {
+        let version = match self.in_flight.get(&request).map(|flow| &flow.phase) {
             Some(Phase::Permit {
                 server: of,
                 version,
@@ -123,7 +123,7 @@
 
     /// Goes on with a request whose permit did not come in time.
     pub(crate) fn permit_due(&mut self, request: RequestId, out: &mut Effects) {
-        match self.flows.get(&request).map(|flow| &flow.phase) {
+        match self.in_flight.get(&request).map(|flow| &flow.phase) {
             Some(Phase::Permit { server, until, .. }) if *until <= self.now => {
                 let server = server.clone();
                 self.notices.close(&server, self.now + UNANSWERED);
--- a/crates/gateway/src/request/notice/rest.rs
+++ b/crates/gateway/src/request/notice/rest.rs
@@ -52,7 +52,7 @@
         if rest > Span::ZERO {
             self.send_rest(server, rest, out);
         }
-        if let Some(flow) = self.flows.get_mut(&request) {
+        if let Some(flow) = self.in_flight.get_mut(&request) {
             flow.failed.push(server.clone());
         }
         self.tell_progress(request, Progress::Failed(Ran::No, Cause::Declined), out);
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -215,7 +215,7 @@
                 && f.server().is_none()
                 && f.phase != flow::Phase::Charging
         };
-        let waiting = self.flows.iter().filter(|(_, flow)| waits(flow));
+        let waiting = self.in_flight.iter().filter(|(_, flow)| waits(flow));
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         for request in waiting {
             self.give_up(request, Some(length), Why::Quarantined, out);
@@ -245,7 +245,7 @@
 
     /// A request got its whole answer: servers don't end because of it.
     pub(crate) fn answered_whole(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let fingerprint = flow.call.fingerprint;
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -174,7 +174,7 @@
         let flow = RequestState::new(call, account, route, service, came);
         let fingerprint = flow.call.fingerprint;
         self.timers.set(flow.ends, Timer::Request(request));
-        self.flows.insert(request, flow);
+        self.in_flight.insert(request, flow);
         match self.quarantine.left(fingerprint, self.now) {
             Some(left) => self.give_up(request, Some(left), Why::Quarantined, out),
             None => self.charge(request, out),
@@ -194,7 +194,7 @@
 
     /// Looks for a server for a request that has none.
     pub(crate) fn seek(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(flow) = self.in_flight.get_mut(&request) else {
             return;
         };
         flow.phase = Phase::Waiting;
@@ -235,8 +235,10 @@
         out: &mut Effects,
     ) {
         let config = self.version();
-        let (Some(flow), Some(row)) = (self.flows.get_mut(&request), self.servers.get_mut(server))
-        else {
+        let (Some(flow), Some(row)) = (
+            self.in_flight.get_mut(&request),
+            self.servers.get_mut(server),
+        ) else {
             return;
         };
         flow.sends += 1;
@@ -282,7 +284,7 @@
 
     /// The first piece of an answer has come.
     pub(crate) fn begun(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(flow) = self.in_flight.get_mut(&request) else {
             return;
         };
         if let Phase::Sent { begun, .. } = &mut flow.phase {
@@ -296,7 +298,7 @@
 
     /// A whole answer has gone to the caller.
     pub(crate) fn completed(&mut self, request: RequestId, pause: Span, out: &mut Effects) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let took = self.now.since(flow.arrived);
@@ -325,7 +327,7 @@
         if let Some((came, call)) = self.startup_queue.remove(request) {
             self.log_left(&call, came, out);
         }
-        if let Some(flow) = self.flows.get(&request) {
+        if let Some(flow) = self.in_flight.get(&request) {
             self.log_left(&flow.call, flow.arrived, out);
             if flow.server().is_none() && flow.ran == 0 {
                 self.refund(request);
@@ -349,7 +351,7 @@
         out: &mut Effects,
     ) {
         let waiting = self
-            .flows
+            .in_flight
             .get(&request)
             .is_some_and(|flow| flow.phase == Phase::Waiting);
         let listed = self.takes_work(server);
@@ -371,7 +373,7 @@
     /// Forgets a request that has its final answer.
     fn end(&mut self, request: RequestId, progress: Progress, out: &mut Effects) {
         self.tell_progress(request, progress, out);
-        let Some(flow) = self.flows.remove(&request) else {
+        let Some(flow) = self.in_flight.remove(&request) else {
             return;
         };
         if let Some(row) = flow
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -71,7 +71,7 @@
     /// A server did not answer a request well.
     pub(crate) fn failed(&mut self, request: RequestId, ran: Ran, cause: Cause, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(flow) = self.in_flight.get_mut(&request) else {
             return;
         };
         let Phase::Sent { server, begun } = flow.phase.clone() else {
@@ -97,7 +97,7 @@
         }
         self.tell_progress(request, Progress::Failed(ran, cause), out);
         // It is at no server now, and its end must not count there once more.
-        if let Some(flow) = self.flows.get_mut(&request) {
+        if let Some(flow) = self.in_flight.get_mut(&request) {
             flow.phase = Phase::Waiting;
         }
         self.after_failure(request, ran, cause, begun, out);
@@ -112,7 +112,7 @@
         begun: bool,
         out: &mut Effects,
     ) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let kind = flow.route.kind;
@@ -135,7 +135,7 @@
     }
 
     fn spend(&mut self, request: RequestId) -> bool {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return false;
         };
         let tuning = &self.settings.tuning;
@@ -152,7 +152,7 @@
 
     /// A request's time is over.
     pub(crate) fn flow_due(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         if flow.ends > self.now {
@@ -191,7 +191,7 @@
     /// The scheduler can't serve a request in time.
     pub(crate) fn turned_away(&mut self, request: RequestId, after: Span, out: &mut Effects) {
         if self
-            .flows
+            .in_flight
             .get(&request)
             .is_some_and(|flow| flow.phase == Phase::Waiting)
         {
@@ -207,7 +207,7 @@
         why: Why,
         out: &mut Effects,
     ) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let waited = self.now.since(flow.arrived);
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -49,7 +49,7 @@
     /// Asks the scheduler for a place.
     pub(crate) fn ask_place(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let Some(want) = flow.want(request, &self.settings.zone, now) else {
@@ -71,7 +71,7 @@
 
     /// Places a request without the scheduler, where its adapter was resident by the last word.
     fn place_alone(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let Some(work) = &flow.call.work else {
@@ -119,7 +119,7 @@
         progress: Progress,
         out: &mut Effects,
     ) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         if flow.call.work.is_none() {
@@ -277,7 +277,7 @@
         server: &Server,
         version: Option<Version>,
     ) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(flow) = self.in_flight.get(&request) else {
             return;
         };
         let adapter = flow.call.work.as_ref().and_then(|w| w.adapter.clone());
@@ -365,7 +365,7 @@
     /// Places what waits without the scheduler, as far as its adapters are resident.
     fn go_alone(&mut self, service: &Service, out: &mut Effects) {
         let waiting: Vec<RequestId> = self
-            .flows
+            .in_flight
             .iter()
             .filter(|(_, f)| f.service == *service && f.phase == Phase::Waiting)
             .map(|(id, _)| *id)
@@ -406,7 +406,7 @@
             matches!(f.phase, Phase::Charging | Phase::Permit { .. })
         };
         let asked = |f: &crate::request::flow::RequestState| f.service == *service && !unasked(f);
-        for (request, flow) in self.flows.iter().filter(|(_, flow)| asked(flow)) {
+        for (request, flow) in self.in_flight.iter().filter(|(_, flow)| asked(flow)) {
             match (flow.server(), &flow.call.work) {
                 (Some(server), Some(work)) => running.push(Running {
                     request: *request,
