--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -19,7 +19,7 @@
 use crate::effect::{Effects, Reason};
 use crate::event::{Call, RequestId};
 use crate::node::Gateway;
-use crate::request::flow::refusal;
+use crate::request::state::refusal;
 
 /// How old the newest word of the key-value service may be for a key that is not in the configuration to count as unknown. A VM
 /// that is well hears within 1.4 s; one that heard longer ago may lack the version that holds the key.
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -16,7 +16,7 @@
 use crate::measure;
 use crate::message::Message;
 use crate::node::Gateway;
-use crate::request::flow::{Phase, Why};
+use crate::request::state::{Phase, Why};
 use crate::timer::Timer;
 
 /// How much longer than a pool has a draw may stay without an answer before another VM is asked.
@@ -41,11 +41,11 @@
     /// Charges a request to its account, if that has a limit, and goes on with it when there are tokens.
     pub(crate) fn charge(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let cost = flow.cost;
-        let account = flow.account.as_ref().map(|account| account.name.clone());
+        let cost = state.cost;
+        let account = state.account.as_ref().map(|account| account.name.clone());
         let Some(account) = account.filter(|name| self.quota.shares.contains_key(name)) else {
             self.seek(request, out);
             return;
@@ -68,21 +68,21 @@
 
     /// A request's tokens are taken.
     fn charged(&mut self, request: RequestId, out: &mut Effects) {
-        if let Some(flow) = self.in_flight.get_mut(&request) {
-            flow.charged = true;
-            let account = flow.account.as_ref().map(|account| &account.name);
-            measure::tokens(out, account, flow.cost, "admitted");
+        if let Some(state) = self.in_flight.get_mut(&request) {
+            state.charged = true;
+            let account = state.account.as_ref().map(|account| &account.name);
+            measure::tokens(out, account, state.cost, "admitted");
         }
         self.seek(request, out);
     }
 
     /// Gives the tokens of a request back that did not run.
     pub(crate) fn refund(&mut self, request: RequestId) {
-        let Some(flow) = self.in_flight.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        let charged = std::mem::take(&mut flow.charged);
-        let (cost, account) = (flow.cost, flow.account.clone());
+        let charged = std::mem::take(&mut state.charged);
+        let (cost, account) = (state.cost, state.account.clone());
         if let Some(account) = account.filter(|_| charged) {
             self.give_back(&account.name, cost);
         }
@@ -100,11 +100,11 @@
     fn draw(&mut self, account: &Tenant, request: RequestId, tries: u32, out: &mut Effects) {
         let until = self.now + pool::pause(self.fleet()) + ANSWER_MARGIN;
         let (to, number) = (self.pool_keeper(), self.rng.random());
-        let Some(flow) = self.in_flight.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        flow.phase = Phase::Charging;
-        let tokens = flow.cost;
+        state.phase = Phase::Charging;
+        let tokens = state.cost;
         let Some((share, terms)) = self.share(account) else {
             return;
         };
@@ -219,9 +219,9 @@
     /// Refuses a request that its account has no tokens for. Callers are told times that differ, so that they don't come back together.
     fn over_limit(&mut self, request: RequestId, after: Span, out: &mut Effects) {
         let spread = Span(self.rng.random_range(0..=after.0 / 2));
-        if let Some(flow) = self.in_flight.get(&request) {
-            let account = flow.account.as_ref().map(|account| &account.name);
-            measure::tokens(out, account, flow.cost, "refused");
+        if let Some(state) = self.in_flight.get(&request) {
+            let account = state.account.as_ref().map(|account| &account.name);
+            measure::tokens(out, account, state.cost, "refused");
         }
         self.give_up(request, Some(after + spread), Why::OverLimit, out);
     }
--- a/crates/gateway/src/config/startup_queue.rs
+++ b/crates/gateway/src/config/startup_queue.rs
@@ -12,7 +12,7 @@
 use crate::effect::{Effects, Reason};
 use crate::event::{Call, RequestId};
 use crate::node::Gateway;
-use crate::request::flow::refusal;
+use crate::request::state::refusal;
 use crate::timer::Timer;
 
 /// How long after its start a VM holds requests.
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -8,8 +8,8 @@
 
 pub mod budget;
 pub mod fingerprint;
-pub(crate) mod flow;
 pub mod health;
 pub(crate) mod load_balancer;
 pub mod notice;
 pub mod quarantine;
+pub(crate) mod state;
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -15,7 +15,7 @@
 use crate::event::RequestId;
 use crate::message::Message;
 use crate::node::Gateway;
-use crate::request::flow::Phase;
+use crate::request::state::Phase;
 use crate::timer::Timer;
 
 /// How long a permit is waited for: some round trips between availability zones.
@@ -38,10 +38,10 @@
             return;
         }
         let until = self.now + ANSWER;
-        let Some(flow) = self.in_flight.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        flow.phase = Phase::Permit {
+        state.phase = Phase::Permit {
             server: server.clone(),
             version,
             until,
@@ -102,7 +102,7 @@
         answer: Result<(), Span>,
         out: &mut Effects,
     ) {
-        let version = match self.in_flight.get(&request).map(|flow| &flow.phase) {
+        let version = match self.in_flight.get(&request).map(|state| &state.phase) {
             Some(Phase::Permit {
                 server: of,
                 version,
@@ -123,7 +123,7 @@
 
     /// Goes on with a request whose permit did not come in time.
     pub(crate) fn permit_due(&mut self, request: RequestId, out: &mut Effects) {
-        match self.in_flight.get(&request).map(|flow| &flow.phase) {
+        match self.in_flight.get(&request).map(|state| &state.phase) {
             Some(Phase::Permit { server, until, .. }) if *until <= self.now => {
                 let server = server.clone();
                 self.notices.close(&server, self.now + UNANSWERED);
--- a/crates/gateway/src/request/notice/rest.rs
+++ b/crates/gateway/src/request/notice/rest.rs
@@ -52,8 +52,8 @@
         if rest > Span::ZERO {
             self.send_rest(server, rest, out);
         }
-        if let Some(flow) = self.in_flight.get_mut(&request) {
-            flow.failed.push(server.clone());
+        if let Some(state) = self.in_flight.get_mut(&request) {
+            state.failed.push(server.clone());
         }
         self.tell_progress(request, Progress::Failed(Ran::No, Cause::Declined), out);
         self.ask_place(request, out);
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -36,7 +36,7 @@
 use crate::message::Message;
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
-use crate::request::flow::{self, Why};
+use crate::request::state::{self, Why};
 
 pub use self::strikes::Strike;
 
@@ -210,12 +210,12 @@
             .insert(self.now, fingerprint, until);
         let detail = format!("call={fingerprint} by={by} for={length}");
         Self::log(out, Code::RequestQuarantined, detail);
-        let waits = |f: &flow::RequestState| {
+        let waits = |f: &state::RequestState| {
             f.call.fingerprint == fingerprint
                 && f.server().is_none()
-                && f.phase != flow::Phase::Charging
+                && f.phase != state::Phase::Charging
         };
-        let waiting = self.in_flight.iter().filter(|(_, flow)| waits(flow));
+        let waiting = self.in_flight.iter().filter(|(_, state)| waits(state));
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         for request in waiting {
             self.give_up(request, Some(length), Why::Quarantined, out);
@@ -245,12 +245,12 @@
 
     /// A request got its whole answer: servers don't end because of it.
     pub(crate) fn answered_whole(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let fingerprint = flow.call.fingerprint;
-        if let Some(server) = flow.server() {
-            self.quarantine.suspects.lives(server, flow.sent);
+        let fingerprint = state.call.fingerprint;
+        if let Some(server) = state.server() {
+            self.quarantine.suspects.lives(server, state.sent);
         }
         if !self.quarantine.watches(fingerprint) {
             return;
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -171,10 +171,10 @@
         let service = self.target(&route.targets);
         let budget = self.budgets.entry(service.clone()).or_default();
         budget.request(self.now, self.settings.tuning.retry_window);
-        let flow = RequestState::new(call, account, route, service, came);
-        let fingerprint = flow.call.fingerprint;
-        self.timers.set(flow.ends, Timer::Request(request));
-        self.in_flight.insert(request, flow);
+        let state = RequestState::new(call, account, route, service, came);
+        let fingerprint = state.call.fingerprint;
+        self.timers.set(state.ends, Timer::Request(request));
+        self.in_flight.insert(request, state);
         match self.quarantine.left(fingerprint, self.now) {
             Some(left) => self.give_up(request, Some(left), Why::Quarantined, out),
             None => self.charge(request, out),
@@ -194,20 +194,20 @@
 
     /// Looks for a server for a request that has none.
     pub(crate) fn seek(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.in_flight.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        flow.phase = Phase::Waiting;
-        let service = flow.service.clone();
+        state.phase = Phase::Waiting;
+        let service = state.service.clone();
         let engine = self
             .index
             .service(service.as_str())
             .is_some_and(|s| s.engine.is_some());
-        if engine && flow.call.work.is_some() {
+        if engine && state.call.work.is_some() {
             self.ask_place(request, out);
             return;
         }
-        let failed = flow.failed.clone();
+        let failed = state.failed.clone();
         let choice = self.choose(&service, &failed, |_| true);
         if let Some(server) = choice {
             self.send_alone(request, &server, None, out);
@@ -235,15 +235,15 @@
         out: &mut Effects,
     ) {
         let config = self.version();
-        let (Some(flow), Some(row)) = (
+        let (Some(state), Some(row)) = (
             self.in_flight.get_mut(&request),
             self.servers.get_mut(server),
         ) else {
             return;
         };
-        flow.sends += 1;
-        flow.sent = self.now;
-        flow.phase = Phase::Sent {
+        state.sends += 1;
+        state.sent = self.now;
+        state.phase = Phase::Sent {
             server: server.clone(),
             begun: false,
         };
@@ -251,21 +251,21 @@
         let send = Send {
             server: server.clone(),
             address: row.backend.address,
-            left: flow.ends.since(self.now),
-            account: flow.account.as_ref().map(|account| account.name.clone()),
+            left: state.ends.since(self.now),
+            account: state.account.as_ref().map(|account| account.name.clone()),
             version,
-            priority: flow.priority,
-            stream: flow.route.kind.stream(),
-            resumable: flow.route.kind == Kind::Resumable,
+            priority: state.priority,
+            stream: state.route.kind.stream(),
+            resumable: state.route.kind == Kind::Resumable,
         };
-        let waited = self.now.since(flow.arrived);
-        let account = flow.account.as_ref().map_or("-", |a| a.name.as_str());
+        let waited = self.now.since(state.arrived);
+        let account = state.account.as_ref().map_or("-", |a| a.name.as_str());
         let detail = format!(
             "id={} call={} account={account} route={} config={config} server={server} send={} waited={waited} open={}",
-            flow.call.id, flow.call.fingerprint, flow.route.name, flow.sends, row.open
+            state.call.id, state.call.fingerprint, state.route.name, state.sends, row.open
         );
         Self::log(out, Code::Sent, detail);
-        let (first, service) = (flow.sends == 1, flow.service.clone());
+        let (first, service) = (state.sends == 1, state.service.clone());
         measure::count(
             out,
             if first {
@@ -284,35 +284,35 @@
 
     /// The first piece of an answer has come.
     pub(crate) fn begun(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.in_flight.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        if let Phase::Sent { begun, .. } = &mut flow.phase {
+        if let Phase::Sent { begun, .. } = &mut state.phase {
             *begun = true;
         }
-        let took = self.now.since(flow.arrived);
-        flow.first.get_or_insert(took);
-        measure::time(out, Figure::FirstToken, &flow.service, took);
+        let took = self.now.since(state.arrived);
+        state.first.get_or_insert(took);
+        measure::time(out, Figure::FirstToken, &state.service, took);
         self.tell_progress(request, Progress::Begun, out);
     }
 
     /// A whole answer has gone to the caller.
     pub(crate) fn completed(&mut self, request: RequestId, pause: Span, out: &mut Effects) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let took = self.now.since(flow.arrived);
-        let server = flow.server().map_or("-", Server::as_str);
-        let first = flow.first.unwrap_or(took);
-        let late = lateness(&flow.route, first, pause);
+        let took = self.now.since(state.arrived);
+        let server = state.server().map_or("-", Server::as_str);
+        let first = state.first.unwrap_or(took);
+        let late = lateness(&state.route, first, pause);
         let detail = format!(
             "id={} route={} server={server} late={late} first={first} pause={pause} took={took}",
-            flow.call.id, flow.route.name
+            state.call.id, state.route.name
         );
         Self::log(out, Code::Served, detail);
-        measure::time(out, Figure::WholeAnswer, &flow.service, took);
-        measure::count(out, Figure::Answered, &flow.service, "whole");
-        if let Some(row) = flow
+        measure::time(out, Figure::WholeAnswer, &state.service, took);
+        measure::count(out, Figure::Answered, &state.service, "whole");
+        if let Some(row) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
         {
@@ -327,9 +327,9 @@
         if let Some((came, call)) = self.startup_queue.remove(request) {
             self.log_left(&call, came, out);
         }
-        if let Some(flow) = self.in_flight.get(&request) {
-            self.log_left(&flow.call, flow.arrived, out);
-            if flow.server().is_none() && flow.ran == 0 {
+        if let Some(state) = self.in_flight.get(&request) {
+            self.log_left(&state.call, state.arrived, out);
+            if state.server().is_none() && state.ran == 0 {
                 self.refund(request);
             }
             self.end(request, Progress::Over, out);
@@ -353,7 +353,7 @@
         let waiting = self
             .in_flight
             .get(&request)
-            .is_some_and(|flow| flow.phase == Phase::Waiting);
+            .is_some_and(|state| state.phase == Phase::Waiting);
         let listed = self.takes_work(server);
         match waiting {
             true if listed => self.send_to(request, server, version, out),
@@ -373,10 +373,10 @@
     /// Forgets a request that has its final answer.
     fn end(&mut self, request: RequestId, progress: Progress, out: &mut Effects) {
         self.tell_progress(request, progress, out);
-        let Some(flow) = self.in_flight.remove(&request) else {
+        let Some(state) = self.in_flight.remove(&request) else {
             return;
         };
-        if let Some(row) = flow
+        if let Some(row) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
         {
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -71,14 +71,14 @@
     /// A server did not answer a request well.
     pub(crate) fn failed(&mut self, request: RequestId, ran: Ran, cause: Cause, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.in_flight.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        let Phase::Sent { server, begun } = flow.phase.clone() else {
+        let Phase::Sent { server, begun } = state.phase.clone() else {
             return;
         };
-        flow.failed.push(server.clone());
-        flow.ran += u32::from(ran != Ran::No);
+        state.failed.push(server.clone());
+        state.ran += u32::from(ran != Ran::No);
         if let Some(row) = self.servers.get_mut(&server) {
             row.open = row.open.saturating_sub(1);
             judge(&mut row.health, cause, now);
@@ -88,17 +88,17 @@
             Code::SendFailed,
             format!(
                 "id={} call={} server={server} ran={ran:?} cause={cause:?} begun={begun}",
-                flow.call.id, flow.call.fingerprint
+                state.call.id, state.call.fingerprint
             ),
         );
         if ran != Ran::No && cause == Cause::Broken {
-            let (fingerprint, sent) = (flow.call.fingerprint, flow.sent);
+            let (fingerprint, sent) = (state.call.fingerprint, state.sent);
             self.suspect(&server, fingerprint, sent, out);
         }
         self.tell_progress(request, Progress::Failed(ran, cause), out);
         // It is at no server now, and its end must not count there once more.
-        if let Some(flow) = self.in_flight.get_mut(&request) {
-            flow.phase = Phase::Waiting;
+        if let Some(state) = self.in_flight.get_mut(&request) {
+            state.phase = Phase::Waiting;
         }
         self.after_failure(request, ran, cause, begun, out);
     }
@@ -112,14 +112,14 @@
         begun: bool,
         out: &mut Effects,
     ) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let kind = flow.route.kind;
-        let may = ran == Ran::No || kind.idempotent() && flow.ran < flow.route.attempts;
+        let kind = state.route.kind;
+        let may = ran == Ran::No || kind.idempotent() && state.ran < state.route.attempts;
         let cut = begun && kind != Kind::Resumable && kind != Kind::Safe;
-        let in_time = flow.ends.since(self.now) > TOO_LATE && flow.sends < MAX_SENDS;
-        let quarantined = self.quarantine.left(flow.call.fingerprint, self.now);
+        let in_time = state.ends.since(self.now) > TOO_LATE && state.sends < MAX_SENDS;
+        let quarantined = self.quarantine.left(state.call.fingerprint, self.now);
         match cause {
             _ if cut => self.end(request, Progress::Over, out),
             _ if quarantined.is_some() => {
@@ -135,7 +135,7 @@
     }
 
     fn spend(&mut self, request: RequestId) -> bool {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return false;
         };
         let tuning = &self.settings.tuning;
@@ -146,41 +146,41 @@
             extra: tuning.retry_extra * BUDGET_USED / vms as f64,
             window: tuning.retry_window,
         };
-        let budget = self.budgets.entry(flow.service.clone()).or_default();
+        let budget = self.budgets.entry(state.service.clone()).or_default();
         budget.spend(self.now, terms)
     }
 
     /// A request's time is over.
     pub(crate) fn flow_due(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        if flow.ends > self.now {
-            let unheard = flow.phase == Phase::Waiting && flow.call.work.is_some();
-            if unheard && self.now.since(flow.arrived) >= ASK_AGAIN {
+        if state.ends > self.now {
+            let unheard = state.phase == Phase::Waiting && state.call.work.is_some();
+            if unheard && self.now.since(state.arrived) >= ASK_AGAIN {
                 self.ask_place(request, out);
             }
             self.permit_due(request, out);
             return;
         }
-        measure::count(out, Figure::Refused, &flow.service, "timed_out");
-        let begun = matches!(flow.phase, Phase::Sent { begun: true, .. });
-        let sent = matches!(flow.phase, Phase::Sent { .. });
-        let (id, server) = (&flow.call.id, flow.server().map_or("-", Server::as_str));
+        measure::count(out, Figure::Refused, &state.service, "timed_out");
+        let begun = matches!(state.phase, Phase::Sent { begun: true, .. });
+        let sent = matches!(state.phase, Phase::Sent { .. });
+        let (id, server) = (&state.call.id, state.server().map_or("-", Server::as_str));
         Self::log(
             out,
             Code::TimedOut,
             format!(
                 "id={id} server={server} begun={begun} timeout={}",
-                flow.route.timeout
+                state.route.timeout
             ),
         );
-        let effect = match sent || flow.ran > 0 {
+        let effect = match sent || state.ran > 0 {
             _ if begun => Effect::Request(request, Verdict::Cut),
             true => refusal(request, Reason::TimedOut, None),
             false => refusal(request, Reason::Overloaded, Some(COME_BACK)),
         };
-        let ran = sent || flow.ran > 0;
+        let ran = sent || state.ran > 0;
         out.push(effect);
         if !ran {
             self.refund(request);
@@ -193,7 +193,7 @@
         if self
             .in_flight
             .get(&request)
-            .is_some_and(|flow| flow.phase == Phase::Waiting)
+            .is_some_and(|state| state.phase == Phase::Waiting)
         {
             self.give_up(request, Some(after), Why::Scheduler, out);
         }
@@ -207,26 +207,26 @@
         why: Why,
         out: &mut Effects,
     ) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let waited = self.now.since(flow.arrived);
-        let ran = flow.ran;
-        let account = flow.account.as_ref().map_or("-", |a| a.name.as_str());
+        let waited = self.now.since(state.arrived);
+        let ran = state.ran;
+        let account = state.account.as_ref().map_or("-", |a| a.name.as_str());
         let back = after.unwrap_or_default();
         Self::log(
             out,
             Code::Refused,
             format!(
                 "id={} call={} account={account} cost={} why={} waited={waited} sends={} ran={ran} after={back}",
-                flow.call.id,
-                flow.call.fingerprint,
-                flow.cost,
+                state.call.id,
+                state.call.fingerprint,
+                state.cost,
                 why.name(),
-                flow.sends
+                state.sends
             ),
         );
-        measure::count(out, Figure::Refused, &flow.service, why.name());
+        measure::count(out, Figure::Refused, &state.service, why.name());
         out.push(refusal(
             request,
             why.reason(ran),
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -17,7 +17,7 @@
 use crate::measure;
 use crate::message::{Holding, Message, Progress, Running, Want};
 use crate::node::Gateway;
-use crate::request::flow::Phase;
+use crate::request::state::Phase;
 use crate::timer::Timer;
 
 /// The time without any word of the holder after which this VM goes on by itself: three of the holder's digests.
@@ -49,13 +49,13 @@
     /// Asks the scheduler for a place.
     pub(crate) fn ask_place(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let Some(want) = flow.want(request, &self.settings.zone, now) else {
+        let Some(want) = state.want(request, &self.settings.zone, now) else {
             return;
         };
-        let service = flow.service.clone();
+        let service = state.service.clone();
         let me = self.settings.vm.clone();
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
             scheduler.want(now, &me, want);
@@ -71,10 +71,10 @@
 
     /// Places a request without the scheduler, where its adapter was resident by the last word.
     fn place_alone(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let Some(work) = &flow.call.work else {
+        let Some(work) = &state.call.work else {
             return;
         };
         let newest = work
@@ -82,7 +82,7 @@
             .as_ref()
             .map_or(0, |a| self.newest(&work.model, a));
         let version = work.adapter.as_ref().map(|_| newest).filter(|v| *v > 0);
-        let (service, failed) = (flow.service.clone(), flow.failed.clone());
+        let (service, failed) = (state.service.clone(), state.failed.clone());
         let adapter = work.adapter.clone();
         let Some(client) = self.scheduler_clients.get(&service) else {
             return;
@@ -119,13 +119,13 @@
         progress: Progress,
         out: &mut Effects,
     ) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        if flow.call.work.is_none() {
+        if state.call.work.is_none() {
             return;
         }
-        let service = flow.service.clone();
+        let service = state.service.clone();
         let me = self.settings.vm.clone();
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
             scheduler.progress(self.now, &me, request, progress);
@@ -277,10 +277,10 @@
         server: &Server,
         version: Option<Version>,
     ) {
-        let Some(flow) = self.in_flight.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let adapter = flow.call.work.as_ref().and_then(|w| w.adapter.clone());
+        let adapter = state.call.work.as_ref().and_then(|w| w.adapter.clone());
         let Some(adapter) = adapter else {
             return;
         };
@@ -288,10 +288,10 @@
         let version = version.unwrap_or(0);
         let shape = self
             .index
-            .service(flow.service.as_str())
+            .service(state.service.as_str())
             .and_then(|application| application.engine.as_ref());
         let places = shape.map_or(0, |shape| shape.places);
-        let Some(client) = self.scheduler_clients.get_mut(&flow.service) else {
+        let Some(client) = self.scheduler_clients.get_mut(&state.service) else {
             return;
         };
         let row = client.residents.entry(server.clone()).or_default();
@@ -402,18 +402,18 @@
         let mut running = Vec::new();
         let mut wants = Vec::new();
         // What waits for tokens of its account or for leave at a server wants no place yet.
-        let unasked = |f: &crate::request::flow::RequestState| {
+        let unasked = |f: &crate::request::state::RequestState| {
             matches!(f.phase, Phase::Charging | Phase::Permit { .. })
         };
-        let asked = |f: &crate::request::flow::RequestState| f.service == *service && !unasked(f);
-        for (request, flow) in self.in_flight.iter().filter(|(_, flow)| asked(flow)) {
-            match (flow.server(), &flow.call.work) {
+        let asked = |f: &crate::request::state::RequestState| f.service == *service && !unasked(f);
+        for (request, state) in self.in_flight.iter().filter(|(_, state)| asked(state)) {
+            match (state.server(), &state.call.work) {
                 (Some(server), Some(work)) => running.push(Running {
                     request: *request,
                     server: server.clone(),
                     work: work.clone(),
                 }),
-                _ => wants.extend(flow.want(*request, &self.settings.zone, self.now)),
+                _ => wants.extend(state.want(*request, &self.settings.zone, self.now)),
             }
         }
         (running, wants)
