--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -395,7 +395,7 @@
     fn run_timers(&mut self, out: &mut Effects) {
         while let Some(timer) = self.timers.due(self.now) {
             match timer {
-                Timer::Request(request) => self.flow_due(request, out),
+                Timer::Request(request) => self.handle_request_timer(request, out),
                 Timer::Registration => self.registration_due(out),
                 Timer::Leadership => self.leadership_due(out),
                 Timer::Follow => self.follow_due(out),
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -151,7 +151,7 @@
     }
 
     /// A request's time is over.
-    pub(crate) fn flow_due(&mut self, request: RequestId, out: &mut Effects) {
+    pub(crate) fn handle_request_timer(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
