--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -16,7 +16,7 @@
 use crate::measure;
 use crate::message::Message;
 use crate::node::Gateway;
-use crate::request::state::{Phase, Why};
+use crate::request::state::{Phase, RefusalDetail};
 use crate::timer::Timer;
 
 /// How much longer than a pool has a draw may stay without an answer before another VM is asked.
@@ -223,7 +223,7 @@
             let account = state.account.as_ref().map(|account| &account.name);
             measure::tokens(out, account, state.cost, "refused");
         }
-        self.give_up(request, Some(after + spread), Why::OverLimit, out);
+        self.give_up(request, Some(after + spread), RefusalDetail::OverLimit, out);
     }
 
     /// Has another VM asked for what some draws are to bring, or refuses the requests that wait for them.
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -36,7 +36,7 @@
 use crate::message::Message;
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
-use crate::request::state::{self, Why};
+use crate::request::state::{self, RefusalDetail};
 
 pub use self::strikes::Strike;
 
@@ -218,7 +218,7 @@
         let waiting = self.in_flight.iter().filter(|(_, state)| waits(state));
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         for request in waiting {
-            self.give_up(request, Some(length), Why::Quarantined, out);
+            self.give_up(request, Some(length), RefusalDetail::Quarantined, out);
         }
     }
 
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -31,7 +31,7 @@
 
 /// Why a request gets no server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Why {
+pub(crate) enum RefusalDetail {
     /// No server takes work.
     NoServer,
     /// Its server failed it, and it is not sent again.
@@ -44,7 +44,7 @@
     OverLimit,
 }
 
-impl Why {
+impl RefusalDetail {
     /// Its name, for the log and figures.
     const fn name(self) -> &'static str {
         match self {
@@ -123,14 +123,14 @@
         match cause {
             _ if cut => self.end(request, Progress::Over, out),
             _ if quarantined.is_some() => {
-                self.give_up(request, quarantined, Why::Quarantined, out);
+                self.give_up(request, quarantined, RefusalDetail::Quarantined, out);
             }
             _ if may && in_time && self.spend(request) => self.seek(request, out),
             Cause::Status(_) => {
                 out.push(Effect::Request(request, Verdict::Deliver));
                 self.end(request, Progress::Over, out);
             }
-            _ => self.give_up(request, Some(COME_BACK), Why::SendFailed, out),
+            _ => self.give_up(request, Some(COME_BACK), RefusalDetail::SendFailed, out),
         }
     }
 
@@ -195,7 +195,7 @@
             .get(&request)
             .is_some_and(|state| state.phase == Phase::Waiting)
         {
-            self.give_up(request, Some(after), Why::Scheduler, out);
+            self.give_up(request, Some(after), RefusalDetail::Scheduler, out);
         }
     }
 
@@ -204,7 +204,7 @@
         &mut self,
         request: RequestId,
         after: Option<Span>,
-        why: Why,
+        why: RefusalDetail,
         out: &mut Effects,
     ) {
         let Some(state) = self.in_flight.get(&request) else {
