--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -223,7 +223,7 @@
             let account = state.account.as_ref().map(|account| &account.name);
             measure::tokens(out, account, state.cost, "refused");
         }
-        self.give_up(request, Some(after + spread), RefusalDetail::OverLimit, out);
+        self.refuse_request(request, Some(after + spread), RefusalDetail::OverLimit, out);
     }
 
     /// Has another VM asked for what some draws are to bring, or refuses the requests that wait for them.
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -218,7 +218,7 @@
         let waiting = self.in_flight.iter().filter(|(_, state)| waits(state));
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         for request in waiting {
-            self.give_up(request, Some(length), RefusalDetail::Quarantined, out);
+            self.refuse_request(request, Some(length), RefusalDetail::Quarantined, out);
         }
     }
 
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -176,7 +176,7 @@
         self.timers.set(state.ends, Timer::Request(request));
         self.in_flight.insert(request, state);
         match self.quarantine.left(fingerprint, self.now) {
-            Some(left) => self.give_up(request, Some(left), RefusalDetail::Quarantined, out),
+            Some(left) => self.refuse_request(request, Some(left), RefusalDetail::Quarantined, out),
             None => self.charge(request, out),
         }
     }
@@ -214,7 +214,7 @@
         } else {
             let opens = self.opens(&service);
             let after = self.retry_after(opens).max(COME_BACK);
-            self.give_up(request, Some(after), RefusalDetail::NoServer, out);
+            self.refuse_request(request, Some(after), RefusalDetail::NoServer, out);
         }
     }
 
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -123,14 +123,14 @@
         match cause {
             _ if cut => self.end(request, Progress::Over, out),
             _ if quarantined.is_some() => {
-                self.give_up(request, quarantined, RefusalDetail::Quarantined, out);
+                self.refuse_request(request, quarantined, RefusalDetail::Quarantined, out);
             }
             _ if may && in_time && self.spend(request) => self.seek(request, out),
             Cause::Status(_) => {
                 out.push(Effect::Request(request, Verdict::Deliver));
                 self.end(request, Progress::Over, out);
             }
-            _ => self.give_up(request, Some(COME_BACK), RefusalDetail::SendFailed, out),
+            _ => self.refuse_request(request, Some(COME_BACK), RefusalDetail::SendFailed, out),
         }
     }
 
@@ -195,12 +195,12 @@
             .get(&request)
             .is_some_and(|state| state.phase == Phase::Waiting)
         {
-            self.give_up(request, Some(after), RefusalDetail::Scheduler, out);
+            self.refuse_request(request, Some(after), RefusalDetail::Scheduler, out);
         }
     }
 
     /// Gives a request that is at no server its final answer.
-    pub(crate) fn give_up(
+    pub(crate) fn refuse_request(
         &mut self,
         request: RequestId,
         after: Option<Span>,
