--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -206,7 +206,7 @@
         let free = shares.into_values().flat_map(|share| share.waiting);
         let free: Vec<RequestId> = free.map(|(_, waiting)| waiting.request).collect();
         for request in free {
-            self.seek(request, out);
+            self.find_server(request, out);
         }
     }
 
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -47,7 +47,7 @@
         let cost = state.cost;
         let account = state.account.as_ref().map(|account| account.name.clone());
         let Some(account) = account.filter(|name| self.quota.shares.contains_key(name)) else {
-            self.seek(request, out);
+            self.find_server(request, out);
             return;
         };
         let Some((share, _)) = self.share(&account) else {
@@ -73,7 +73,7 @@
             let account = state.account.as_ref().map(|account| &account.name);
             measure::tokens(out, account, state.cost, "admitted");
         }
-        self.seek(request, out);
+        self.find_server(request, out);
     }
 
     /// Gives the tokens of a request back that did not run.
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -113,10 +113,10 @@
         let listed = self.takes_work(server);
         match answer {
             Ok(()) if listed => self.send_to(request, server, version, out),
-            Ok(()) => self.seek(request, out),
+            Ok(()) => self.find_server(request, out),
             Err(after) => {
                 self.notices.close(server, self.now + after);
-                self.seek(request, out);
+                self.find_server(request, out);
             }
         }
     }
@@ -127,7 +127,7 @@
             Some(Phase::Permit { server, until, .. }) if *until <= self.now => {
                 let server = server.clone();
                 self.notices.close(&server, self.now + UNANSWERED);
-                self.seek(request, out);
+                self.find_server(request, out);
             }
             _ => {}
         }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -193,7 +193,7 @@
     }
 
     /// Looks for a server for a request that has none.
-    pub(crate) fn seek(&mut self, request: RequestId, out: &mut Effects) {
+    pub(crate) fn find_server(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -125,7 +125,7 @@
             _ if quarantined.is_some() => {
                 self.refuse_request(request, quarantined, RefusalDetail::Quarantined, out);
             }
-            _ if may && in_time && self.spend(request) => self.seek(request, out),
+            _ if may && in_time && self.spend(request) => self.find_server(request, out),
             Cause::Status(_) => {
                 out.push(Effect::Request(request, Verdict::Deliver));
                 self.end(request, Progress::Over, out);
