--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -26,7 +26,7 @@
 
 impl Gateway {
     /// Sends a request that no scheduler placed to a server, if that names a limit only by leave.
-    pub(crate) fn send_alone(
+    pub(crate) fn send_unscheduled(
         &mut self,
         request: RequestId,
         server: &Server,
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -210,7 +210,7 @@
         let failed = state.failed.clone();
         let choice = self.choose(&service, &failed, |_| true);
         if let Some(server) = choice {
-            self.send_alone(request, &server, None, out);
+            self.send_unscheduled(request, &server, None, out);
         } else {
             let opens = self.opens(&service);
             let after = self.retry_after(opens).max(COME_BACK);
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -99,7 +99,7 @@
             .collect();
         let choice = self.choose(&service, &failed, |server| holders.contains(server));
         if let Some(server) = choice {
-            self.send_alone(request, &server, version, out);
+            self.send_unscheduled(request, &server, version, out);
         }
     }
 
