--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -74,7 +74,7 @@
 
 impl Gateway {
     /// The server that a request goes to which no scheduler places: one that leaves only where there is no other.
-    pub(crate) fn choose(
+    pub(crate) fn choose_server(
         &mut self,
         service: &Service,
         failed: &[Server],
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -208,7 +208,7 @@
             return;
         }
         let failed = state.failed.clone();
-        let choice = self.choose(&service, &failed, |_| true);
+        let choice = self.choose_server(&service, &failed, |_| true);
         if let Some(server) = choice {
             self.send_unscheduled(request, &server, None, out);
         } else {
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -97,7 +97,7 @@
             .filter(|server| adapter.is_none() || holding(server).is_some())
             .cloned()
             .collect();
-        let choice = self.choose(&service, &failed, |server| holders.contains(server));
+        let choice = self.choose_server(&service, &failed, |server| holders.contains(server));
         if let Some(server) = choice {
             self.send_unscheduled(request, &server, version, out);
         }
