--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -267,7 +267,7 @@
             Event::Start => self.start(out),
             Event::Tick => {}
             Event::Arrived(request, call) => self.arrived(request, *call, out),
-            Event::Gone(request) => self.gone(request, out),
+            Event::Gone(request) => self.handle_caller_left(request, out),
             Event::Begun(request) => self.begun(request, out),
             Event::Completed(request, pause) => self.completed(request, pause, out),
             Event::Failed(request, ran, cause) => self.failed(request, ran, cause, out),
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -323,7 +323,7 @@
     }
 
     /// The caller has left.
-    pub(crate) fn gone(&mut self, request: RequestId, out: &mut Effects) {
+    pub(crate) fn handle_caller_left(&mut self, request: RequestId, out: &mut Effects) {
         if let Some((came, call)) = self.startup_queue.remove(request) {
             self.log_left(&call, came, out);
         }
