--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -327,7 +327,7 @@
             }
             Message::Refuse(service, fence, request, after) => {
                 if self.follows(&service, fence, from, out) {
-                    self.turned_away(request, after, out);
+                    self.handle_placement_refused(request, after, out);
                 }
             }
             Message::Alive(service, fence) => {
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -189,7 +189,12 @@
     }
 
     /// The scheduler can't serve a request in time.
-    pub(crate) fn turned_away(&mut self, request: RequestId, after: Span, out: &mut Effects) {
+    pub(crate) fn handle_placement_refused(
+        &mut self,
+        request: RequestId,
+        after: Span,
+        out: &mut Effects,
+    ) {
         if self
             .in_flight
             .get(&request)
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -53,7 +53,7 @@
                 );
             }
             Decision::Refuse(vm, request, after) if vm == me => {
-                self.turned_away(request, after, out);
+                self.handle_placement_refused(request, after, out);
             }
             Decision::Refuse(vm, request, after) => {
                 self.send(
