--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -11,7 +11,7 @@
 use crate::config::{Config, Index};
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
-use crate::request::load_balancer::Row;
+use crate::request::load_balancer::ServerState;
 use crate::request::quarantine::LENGTH;
 use crate::timer::Timer;
 
@@ -216,7 +216,7 @@
             Self::log(out, Code::ServerListed, detail);
             self.notices.listed(server, backend.start);
             self.servers
-                .insert(server.clone(), Row::new(backend.clone()));
+                .insert(server.clone(), ServerState::new(backend.clone()));
         }
         self.scheduler_server(server, backend);
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -27,7 +27,7 @@
 use crate::measure;
 use crate::message::Message;
 use crate::request::budget::Budget;
-use crate::request::load_balancer::Row;
+use crate::request::load_balancer::ServerState;
 use crate::request::notice;
 use crate::request::quarantine;
 use crate::request::state::RequestState;
@@ -54,7 +54,7 @@
     /// The other entry VMs.
     pub(crate) membership: Membership,
     /// The backend servers that take work, and what this VM knows of them.
-    pub(crate) servers: BTreeMap<Server, Row>,
+    pub(crate) servers: BTreeMap<Server, ServerState>,
     /// What backend servers said of themselves.
     pub(crate) notices: notice::Table,
     /// The requests of this VM's callers.
--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -25,7 +25,7 @@
 
 /// One server as this VM sees it.
 #[derive(Debug)]
-pub(crate) struct Row {
+pub(crate) struct ServerState {
     /// How the server describes itself.
     pub(crate) backend: Arc<Backend>,
     /// Requests of this VM there.
@@ -34,7 +34,7 @@
     pub(crate) health: Health,
 }
 
-impl Row {
+impl ServerState {
     pub(crate) fn new(backend: Arc<Backend>) -> Self {
         Self {
             backend,
@@ -81,7 +81,7 @@
         fits: impl Fn(&Server) -> bool,
     ) -> Option<Server> {
         let (now, last) = (self.now, self.last_resort());
-        let of = |(server, row): &(&Server, &Row)| {
+        let of = |(server, row): &(&Server, &ServerState)| {
             row.backend.service == *service && fits(server) && self.notices.open(server, now)
         };
         let rows = self.servers.iter().filter(of);
@@ -97,14 +97,14 @@
 
 /// The server that a request goes to: the one that costs least among those that take work and have not failed it.
 fn cheapest<'a>(
-    rows: impl Iterator<Item = (&'a Server, &'a Row)>,
+    rows: impl Iterator<Item = (&'a Server, &'a ServerState)>,
     failed: &[Server],
     settings: &Settings,
     now: Instant,
     rng: &mut ChaCha8Rng,
 ) -> Option<Server> {
     let open = rows.filter(|(server, row)| row.backend.ready && !failed.contains(server));
-    let cost = |row: &Row| row.cost(&settings.zone, now, settings.without);
+    let cost = |row: &ServerState| row.cost(&settings.zone, now, settings.without);
     let costs = open.map(|(server, row)| (server, cost(row) + rng.random_range(0.0..CHANCE)));
     let best = costs.min_by(|(_, a), (_, b)| a.total_cmp(b));
     best.map(|(server, _)| server.clone())
