--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -202,7 +202,7 @@
             if row.backend.ready && !backend.ready {
                 Self::log(out, Code::ServerLeaving, format!("server={server}"));
             }
-            let restarted = row.describe(backend);
+            let restarted = row.update_backend(backend);
             if restarted {
                 let detail = format!("server={server} start={:?}", backend.start);
                 Self::log(out, Code::ServerRestarted, detail);
--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -44,7 +44,7 @@
     }
 
     /// The server describes itself anew. Says whether it has started again, in which case nothing of its health holds.
-    pub(crate) fn describe(&mut self, backend: &Arc<Backend>) -> bool {
+    pub(crate) fn update_backend(&mut self, backend: &Arc<Backend>) -> bool {
         let restarted = self.backend.start != backend.start;
         if restarted {
             self.health = Health::default();
