--- a/crates/gateway/src/request/health.rs
+++ b/crates/gateway/src/request/health.rs
@@ -34,19 +34,19 @@
 
 impl Health {
     /// Counts an answer.
-    pub fn good(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.count(now, 0.0);
         self.pause = Span::ZERO;
     }
 
     /// Counts a failure of the server's work.
-    pub fn bad(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.count(now, 1.0);
     }
 
     /// Counts a server that does not react at all; it comes last for a while, twice as long each time.
-    pub fn dead(&mut self, now: Instant) {
-        self.bad(now);
+    pub fn record_connection_failure(&mut self, now: Instant) {
+        self.record_failure(now);
         if now < self.until {
             return;
         }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -316,7 +316,7 @@
             .server()
             .and_then(|server| self.servers.get_mut(server))
         {
-            row.health.good(self.now);
+            row.health.record_success(self.now);
         }
         self.answered_whole(request, out);
         self.end(request, Progress::Over, out);
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -250,8 +250,8 @@
 
 fn judge(health: &mut Health, cause: Cause, now: Instant) {
     match cause {
-        Cause::Unreachable | Cause::Broken => health.dead(now),
-        Cause::Malformed | Cause::Status(_) => health.bad(now),
+        Cause::Unreachable | Cause::Broken => health.record_connection_failure(now),
+        Cause::Malformed | Cause::Status(_) => health.record_failure(now),
         Cause::Full | Cause::Missing | Cause::Declined => {}
     }
 }
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -175,7 +175,7 @@
             return;
         };
         engine.read(now, reads, since);
-        engine.health.good(now);
+        engine.health.record_success(now);
         engine.rest.begin();
         let place = key.and_then(|key| engine.places.get_mut(&key));
         if let Some(place) = place {
@@ -240,8 +240,8 @@
                 }
             }
             Cause::Missing | Cause::Full | Cause::Declined => {}
-            Cause::Unreachable | Cause::Broken => engine.health.dead(now),
-            Cause::Malformed | Cause::Status(_) => engine.health.bad(now),
+            Cause::Unreachable | Cause::Broken => engine.health.record_connection_failure(now),
+            Cause::Malformed | Cause::Status(_) => engine.health.record_failure(now),
         }
     }
 
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -88,7 +88,7 @@
         };
         engine.reporting = false;
         let Some(report) = report else {
-            engine.health.dead(now);
+            engine.health.record_connection_failure(now);
             return;
         };
         if engine.known {
@@ -191,7 +191,7 @@
                 return false;
             }
             (Ordered::Unknown | Ordered::NotSent, _) => {
-                engine.health.dead(now);
+                engine.health.record_connection_failure(now);
                 engine.forget();
             }
             // An unload that waits for runs, a count that differs, or an engine that is another one: only its report
