--- a/crates/gateway/src/request/health.rs
+++ b/crates/gateway/src/request/health.rs
@@ -77,7 +77,7 @@
 /// The servers that come last, by their place in the list: those that failed most, but never more than a third of all.
 /// Where more fail, the fault is not theirs alone, and work has nowhere better to go.
 #[must_use]
-pub fn last(now: Instant, servers: &[&Health]) -> Vec<usize> {
+pub fn deprioritized(now: Instant, servers: &[&Health]) -> Vec<usize> {
     let shunned = servers
         .iter()
         .enumerate()
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -40,7 +40,7 @@
 use crate::event::{Ordered, Report, RequestId, Work};
 use crate::feature::Feature;
 use crate::message::{Holding, Progress, Running, Want};
-use crate::request::health::{Health, last};
+use crate::request::health::{Health, deprioritized};
 use crate::request::notice::Rate;
 use crate::request::notice::leaving::last_resort;
 use crate::request::notice::meter::Meter;
@@ -419,7 +419,11 @@
     fn judge(&mut self, now: Instant) {
         let health: Vec<&Health> = self.engines.values().map(|engine| &engine.health).collect();
         let used = self.settings.uses(Feature::HealthRanking);
-        let last = if used { last(now, &health) } else { Vec::new() };
+        let last = if used {
+            deprioritized(now, &health)
+        } else {
+            Vec::new()
+        };
         for (at, engine) in self.engines.values_mut().enumerate() {
             engine.last = last.contains(&at);
         }
