--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -26,7 +26,7 @@
 use crate::feature::Feature;
 use crate::measure;
 use crate::message::Message;
-use crate::request::budget::Budget;
+use crate::request::budget::RetryBudget;
 use crate::request::load_balancer::ServerState;
 use crate::request::notice;
 use crate::request::quarantine;
@@ -60,7 +60,7 @@
     /// The requests of this VM's callers.
     pub(crate) in_flight: FxHashMap<RequestId, RequestState>,
     /// The budgets of second sends.
-    pub(crate) budgets: BTreeMap<Service, Budget>,
+    pub(crate) budgets: BTreeMap<Service, RetryBudget>,
     /// What this VM knows of the schedulers.
     pub(crate) scheduler_clients: BTreeMap<Service, client::State>,
     /// The schedulers that run on this VM.
--- a/crates/gateway/src/request/budget.rs
+++ b/crates/gateway/src/request/budget.rs
@@ -6,7 +6,7 @@
 
 /// The budget of one service on one VM, over a sliding window.
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Requests in the window.
     requests: VecDeque<Instant>,
     /// Second sends in the window.
@@ -24,7 +24,7 @@
     pub window: Span,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Counts a request, and forgets what has left the window.
     pub fn request(&mut self, now: Instant, window: Span) {
         self.forget(now.back(window));
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -4,7 +4,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::request::budget::Budget;
+use dahliastile_gateway::request::budget::RetryBudget;
 use dahliastile_gateway::settings::Tuning;
 use support::World;
 use support::setup::{call, name};
@@ -45,7 +45,7 @@
 /// and a calm day of 100 requests a second would have kept nine million.
 #[test]
 fn budget_keepsawindow() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     let window = Span::from_secs(10);
     for at in 0..100_000 {
         let now = Instant::default() + Span::from_millis(10).times(at);
