--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -60,7 +60,7 @@
     /// The requests of this VM's callers.
     pub(crate) in_flight: FxHashMap<RequestId, RequestState>,
     /// The budgets of second sends.
-    pub(crate) budgets: BTreeMap<Service, RetryBudget>,
+    pub(crate) retry_budgets: BTreeMap<Service, RetryBudget>,
     /// What this VM knows of the schedulers.
     pub(crate) scheduler_clients: BTreeMap<Service, client::State>,
     /// The schedulers that run on this VM.
@@ -105,7 +105,7 @@
             servers: BTreeMap::new(),
             notices: notice::Table::default(),
             in_flight: FxHashMap::default(),
-            budgets: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
             scheduler_clients: BTreeMap::new(),
             schedulers: BTreeMap::new(),
             registration: registration::State::default(),
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -169,7 +169,7 @@
             }
         };
         let service = self.target(&route.targets);
-        let budget = self.budgets.entry(service.clone()).or_default();
+        let budget = self.retry_budgets.entry(service.clone()).or_default();
         budget.request(self.now, self.settings.tuning.retry_window);
         let state = RequestState::new(call, account, route, service, came);
         let fingerprint = state.call.fingerprint;
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -146,7 +146,7 @@
             extra: tuning.retry_extra * BUDGET_USED / vms as f64,
             window: tuning.retry_window,
         };
-        let budget = self.budgets.entry(state.service.clone()).or_default();
+        let budget = self.retry_budgets.entry(state.service.clone()).or_default();
         budget.spend(self.now, terms)
     }
 
