--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -63,7 +63,7 @@
 
 /// One thing that an answer may say.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word<T> {
+pub enum NoticeField<T> {
     /// It does not.
     #[default]
     Unsaid,
@@ -77,11 +77,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     /// The requests a second that the server takes from all VMs together, for as long as it says so.
-    pub limit: Word<Rate>,
+    pub limit: NoticeField<Rate>,
     /// Whether the server is leaving.
     pub leaving: bool,
     /// How long the server, which turns a request away, wants nothing more of the VM that sent it.
-    pub rest: Word<Span>,
+    pub rest: NoticeField<Span>,
 }
 
 impl Notice {
@@ -164,21 +164,21 @@
         if notice.leaving {
             self.report_leaving(server, out);
         }
-        if let Word::Said(rest) = notice.rest {
+        if let NoticeField::Said(rest) = notice.rest {
             self.report_rest(server, rest, out);
         }
         match notice.limit {
-            Word::Unsaid => self.report_limit(server, None, out),
-            Word::Said(rate) => self.report_limit(server, Some(rate), out),
-            Word::Unreadable => {}
+            NoticeField::Unsaid => self.report_limit(server, None, out),
+            NoticeField::Said(rate) => self.report_limit(server, Some(rate), out),
+            NoticeField::Unreadable => {}
         }
     }
 
     /// Writes a line on what can't be read. Nothing is changed by it: what the server said before holds on.
     fn note_unreadable_word(server: &Server, notice: Notice, out: &mut Effects) {
         let words = [
-            ("limit", notice.limit == Word::Unreadable),
-            ("rest", notice.rest == Word::Unreadable),
+            ("limit", notice.limit == NoticeField::Unreadable),
+            ("rest", notice.rest == NoticeField::Unreadable),
         ];
         for (word, _) in words.iter().filter(|(_, unreadable)| *unreadable) {
             let detail = format!("server={server} {word}=unreadable");
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::event::Event;
-use dahliastile_gateway::request::notice::{Notice, Rate, Word};
+use dahliastile_gateway::request::notice::{Notice, NoticeField, Rate};
 
 use super::{Act, World};
 use crate::support::setup::name;
@@ -99,7 +99,8 @@
         let server: Server = name(id);
         let limits = self.notices.limits.entry(server.clone()).or_default();
         limits.push((self.now, limit));
-        self.notices.says.entry(server).or_default().limit = limit.map_or(Word::Unsaid, Word::Said);
+        self.notices.says.entry(server).or_default().limit =
+            limit.map_or(NoticeField::Unsaid, NoticeField::Said);
     }
 
     /// Something reaches a server from a VM.
@@ -162,13 +163,13 @@
         } = head;
         let mut notice = self.notices.says[&server];
         if !turned_away {
-            notice.rest = Word::Unsaid;
+            notice.rest = NoticeField::Unsaid;
         }
         let key = (vm, start, server.clone());
         if notice.leaving {
             self.notices.left.entry(key.clone()).or_insert(self.now);
         }
-        if let Word::Said(span) = notice.rest {
+        if let NoticeField::Said(span) = notice.rest {
             self.notices.rests.push(Rest {
                 at: self.now,
                 span,
@@ -176,7 +177,7 @@
                 server: server.clone(),
             });
         }
-        if matches!(notice.limit, Word::Said(_)) {
+        if matches!(notice.limit, NoticeField::Said(_)) {
             self.notices.told.entry(key.clone()).or_insert(self.now);
         }
         let last = self.notices.tracked.get_mut(&key);
@@ -298,7 +299,8 @@
         let server: Server = name(id);
         let (engine, _) = self.servers.get_mut(&server).expect("a server");
         engine.resting = rest.is_some();
-        self.notices.says.entry(server).or_default().rest = rest.map_or(Word::Unsaid, Word::Said);
+        self.notices.says.entry(server).or_default().rest =
+            rest.map_or(NoticeField::Unsaid, NoticeField::Said);
     }
 
     /// The requests that reached a server from a VM later than a span after that VM was told that it leaves.
