--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -66,7 +66,7 @@
 pub enum NoticeField<T> {
     /// It does not.
     #[default]
-    Unsaid,
+    Absent,
     /// It does, and can't be read.
     Unreadable,
     /// It does.
@@ -168,7 +168,7 @@
             self.report_rest(server, rest, out);
         }
         match notice.limit {
-            NoticeField::Unsaid => self.report_limit(server, None, out),
+            NoticeField::Absent => self.report_limit(server, None, out),
             NoticeField::Said(rate) => self.report_limit(server, Some(rate), out),
             NoticeField::Unreadable => {}
         }
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -100,7 +100,7 @@
         let limits = self.notices.limits.entry(server.clone()).or_default();
         limits.push((self.now, limit));
         self.notices.says.entry(server).or_default().limit =
-            limit.map_or(NoticeField::Unsaid, NoticeField::Said);
+            limit.map_or(NoticeField::Absent, NoticeField::Said);
     }
 
     /// Something reaches a server from a VM.
@@ -163,7 +163,7 @@
         } = head;
         let mut notice = self.notices.says[&server];
         if !turned_away {
-            notice.rest = NoticeField::Unsaid;
+            notice.rest = NoticeField::Absent;
         }
         let key = (vm, start, server.clone());
         if notice.leaving {
@@ -300,7 +300,7 @@
         let (engine, _) = self.servers.get_mut(&server).expect("a server");
         engine.resting = rest.is_some();
         self.notices.says.entry(server).or_default().rest =
-            rest.map_or(NoticeField::Unsaid, NoticeField::Said);
+            rest.map_or(NoticeField::Absent, NoticeField::Said);
     }
 
     /// The requests that reached a server from a VM later than a span after that VM was told that it leaves.
