--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -70,7 +70,7 @@
     /// It does, and can't be read.
     Unreadable,
     /// It does.
-    Said(T),
+    Present(T),
 }
 
 /// What one answer says of its server.
@@ -164,12 +164,12 @@
         if notice.leaving {
             self.report_leaving(server, out);
         }
-        if let NoticeField::Said(rest) = notice.rest {
+        if let NoticeField::Present(rest) = notice.rest {
             self.report_rest(server, rest, out);
         }
         match notice.limit {
             NoticeField::Absent => self.report_limit(server, None, out),
-            NoticeField::Said(rate) => self.report_limit(server, Some(rate), out),
+            NoticeField::Present(rate) => self.report_limit(server, Some(rate), out),
             NoticeField::Unreadable => {}
         }
     }
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -100,7 +100,7 @@
         let limits = self.notices.limits.entry(server.clone()).or_default();
         limits.push((self.now, limit));
         self.notices.says.entry(server).or_default().limit =
-            limit.map_or(NoticeField::Absent, NoticeField::Said);
+            limit.map_or(NoticeField::Absent, NoticeField::Present);
     }
 
     /// Something reaches a server from a VM.
@@ -169,7 +169,7 @@
         if notice.leaving {
             self.notices.left.entry(key.clone()).or_insert(self.now);
         }
-        if let NoticeField::Said(span) = notice.rest {
+        if let NoticeField::Present(span) = notice.rest {
             self.notices.rests.push(Rest {
                 at: self.now,
                 span,
@@ -177,7 +177,7 @@
                 server: server.clone(),
             });
         }
-        if matches!(notice.limit, NoticeField::Said(_)) {
+        if matches!(notice.limit, NoticeField::Present(_)) {
             self.notices.told.entry(key.clone()).or_insert(self.now);
         }
         let last = self.notices.tracked.get_mut(&key);
@@ -300,7 +300,7 @@
         let (engine, _) = self.servers.get_mut(&server).expect("a server");
         engine.resting = rest.is_some();
         self.notices.says.entry(server).or_default().rest =
-            rest.map_or(NoticeField::Absent, NoticeField::Said);
+            rest.map_or(NoticeField::Absent, NoticeField::Present);
     }
 
     /// The requests that reached a server from a VM later than a span after that VM was told that it leaves.
