--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -56,7 +56,7 @@
     /// The backend servers that take work, and what this VM knows of them.
     pub(crate) servers: BTreeMap<Server, ServerState>,
     /// What backend servers said of themselves.
-    pub(crate) notices: notice::Table,
+    pub(crate) notices: notice::ServerNotices,
     /// The requests of this VM's callers.
     pub(crate) in_flight: FxHashMap<RequestId, RequestState>,
     /// The budgets of second sends.
@@ -103,7 +103,7 @@
             index: Index::default(),
             membership: Membership::default(),
             servers: BTreeMap::new(),
-            notices: notice::Table::default(),
+            notices: notice::ServerNotices::default(),
             in_flight: FxHashMap::default(),
             retry_budgets: BTreeMap::new(),
             scheduler_clients: BTreeMap::new(),
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -94,7 +94,7 @@
 
 /// What servers said last.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct ServerNotices {
     /// By server.
     rows: BTreeMap<Server, Row>,
 }
@@ -129,7 +129,7 @@
     }
 }
 
-impl Table {
+impl ServerNotices {
     /// The limit that a server names.
     pub(crate) fn limit(&self, server: &Server) -> Option<Rate> {
         self.rows.get(server)?.limit
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -69,7 +69,7 @@
     Span(drain.0 / 2)
 }
 
-impl super::Table {
+impl super::ServerNotices {
     /// Tells a scheduler what an engine has said of itself.
     pub(crate) fn brief(&self, now: Instant, me: &Vm, scheduler: &mut Scheduler, server: &Server) {
         if let Some(limit) = self.limit(server) {
--- a/crates/gateway/src/request/notice/rest.rs
+++ b/crates/gateway/src/request/notice/rest.rs
@@ -66,7 +66,7 @@
     }
 }
 
-impl super::Table {
+impl super::ServerNotices {
     /// Until when a server wants nothing of this VM.
     pub(crate) fn rests(&self, server: &Server) -> Instant {
         self.rows
