--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -19,7 +19,7 @@
 use dahliastile_core::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-use self::meter::Meter;
+use self::meter::RateLimiter;
 use crate::effect::{Effect, Effects};
 use crate::message::Message;
 use crate::node::Gateway;
@@ -105,7 +105,7 @@
     /// The requests a second that it takes from all VMs together.
     limit: Option<Rate>,
     /// What it may still be sent of that, where this VM counts it.
-    meter: Option<Meter>,
+    meter: Option<RateLimiter>,
     /// Until when this VM sends it nothing.
     closed: Instant,
     /// Until when it wants nothing of this VM.
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::Span;
 
-use super::meter::Meter;
+use super::meter::RateLimiter;
 use crate::cluster::fact::Version;
 use crate::cluster::membership;
 use crate::effect::Effects;
@@ -86,7 +86,9 @@
         let Some(limit) = row.limit else {
             return Ok(());
         };
-        let meter = row.meter.get_or_insert_with(|| Meter::new(now, limit));
+        let meter = row
+            .meter
+            .get_or_insert_with(|| RateLimiter::new(now, limit));
         if meter.take(now) {
             Ok(())
         } else {
--- a/crates/gateway/src/request/notice/rate_limiter.rs
+++ b/crates/gateway/src/request/notice/rate_limiter.rs
@@ -17,7 +17,7 @@
 
 /// Requests that come in at the rate of a limit, none at first: what was sent before the limit was heard of counts against it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Meter {
+pub(crate) struct RateLimiter {
     /// The limit.
     rate: Rate,
     /// When a server last named it.
@@ -28,7 +28,7 @@
     promised: Instant,
 }
 
-impl Meter {
+impl RateLimiter {
     pub(crate) fn new(now: Instant, rate: Rate) -> Self {
         Self {
             rate,
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -43,7 +43,7 @@
 use crate::request::health::{Health, deprioritized};
 use crate::request::notice::Rate;
 use crate::request::notice::leaving::last_resort;
-use crate::request::notice::meter::Meter;
+use crate::request::notice::meter::RateLimiter;
 use crate::settings::Settings;
 
 use self::adapter_cache::{Beside, Remembering};
@@ -254,7 +254,7 @@
         };
         match (limit, &mut engine.meter) {
             (Some(rate), Some(meter)) => meter.renew(now, rate),
-            (Some(rate), None) => engine.meter = Some(Meter::new(now, rate)),
+            (Some(rate), None) => engine.meter = Some(RateLimiter::new(now, rate)),
             (None, _) => engine.meter = None,
         }
     }
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -16,7 +16,7 @@
 use crate::effect::OrderId;
 use crate::event::Report;
 use crate::request::health::Health;
-use crate::request::notice::meter::Meter;
+use crate::request::notice::meter::RateLimiter;
 
 /// Prompt tokens that an engine reads in a millisecond until some were measured.
 const FIRST_RATE: f64 = 20.0;
@@ -151,7 +151,7 @@
     /// The rest that it asked for.
     pub(crate) rest: Rest,
     /// What it may still be sent, where it names a limit.
-    pub(crate) meter: Option<Meter>,
+    pub(crate) meter: Option<RateLimiter>,
     /// What requests say of its health.
     pub(crate) health: Health,
     /// Whether it comes last for now.
