--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -35,7 +35,7 @@
         let row = self.notices.rows.entry(server.clone()).or_default();
         let was = std::mem::replace(&mut row.limit, limit);
         match (limit, &mut row.meter) {
-            (Some(rate), Some(meter)) => meter.renew(now, rate),
+            (Some(rate), Some(meter)) => meter.set_rate(now, rate),
             (Some(_), None) => {}
             (None, _) => (row.meter, row.closed) = (None, Instant::default()),
         }
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -89,7 +89,7 @@
         let meter = row
             .meter
             .get_or_insert_with(|| RateLimiter::new(now, limit));
-        if meter.take(now) {
+        if meter.try_take(now) {
             Ok(())
         } else {
             Err(meter.promise(now))
--- a/crates/gateway/src/request/notice/rate_limiter.rs
+++ b/crates/gateway/src/request/notice/rate_limiter.rs
@@ -39,7 +39,7 @@
     }
 
     /// The server names its limit once more.
-    pub(crate) fn renew(&mut self, now: Instant, rate: Rate) {
+    pub(crate) fn set_rate(&mut self, now: Instant, rate: Rate) {
         self.bucket.refill(now, self.terms());
         self.rate = rate;
         self.heard = now;
@@ -56,14 +56,14 @@
     }
 
     /// What may be sent now.
-    pub(crate) fn left(&self, now: Instant) -> f64 {
+    pub(crate) fn available(&self, now: Instant) -> f64 {
         let mut bucket = self.bucket;
         bucket.refill(now, self.terms());
         bucket.balance()
     }
 
     /// Counts one that is sent, if it may be.
-    pub(crate) fn take(&mut self, now: Instant) -> bool {
+    pub(crate) fn try_take(&mut self, now: Instant) -> bool {
         self.bucket.refill(now, self.terms());
         self.bucket.take(Tokens(1))
     }
@@ -71,7 +71,7 @@
     /// When one that may not be sent now may be, after all that were told so before.
     pub(crate) fn promise(&mut self, now: Instant) -> Span {
         let one = wait(1.0, self.rate());
-        let next = wait(1.0 - self.left(now), self.rate());
+        let next = wait(1.0 - self.available(now), self.rate());
         self.promised = (self.promised + one).max(now + next);
         self.promised = self.promised.min(now + LONGEST_WAIT);
         self.promised.since(now)
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -253,7 +253,7 @@
             return;
         };
         match (limit, &mut engine.meter) {
-            (Some(rate), Some(meter)) => meter.renew(now, rate),
+            (Some(rate), Some(meter)) => meter.set_rate(now, rate),
             (Some(rate), None) => engine.meter = Some(RateLimiter::new(now, rate)),
             (None, _) => engine.meter = None,
         }
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -236,12 +236,12 @@
     pub(crate) fn may_get(&self, count: u32, now: Instant) -> bool {
         self.meter
             .as_ref()
-            .is_none_or(|meter| meter.left(now) >= f64::from(count))
+            .is_none_or(|meter| meter.available(now) >= f64::from(count))
     }
 
     /// Counts a request or an order against its limit, if that leaves room for it.
     pub(crate) fn take_one(&mut self, now: Instant) -> bool {
-        self.meter.as_mut().is_none_or(|meter| meter.take(now))
+        self.meter.as_mut().is_none_or(|meter| meter.try_take(now))
     }
 
     /// Whether it could load a base model and has none, nor one on its way.
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -170,7 +170,7 @@
                 left: 0.0,
                 rate: 0.0,
             });
-            sum.left += meter.left(now);
+            sum.left += meter.available(now);
             sum.rate += meter.rate();
         }
         limited
