--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -6,8 +6,8 @@
 
 pub(crate) mod leaving;
 mod limit;
-pub(crate) mod meter;
 mod permit;
+pub(crate) mod rate_limiter;
 mod rest;
 
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 use dahliastile_core::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-use self::meter::RateLimiter;
+use self::rate_limiter::RateLimiter;
 use crate::effect::{Effect, Effects};
 use crate::message::Message;
 use crate::node::Gateway;
@@ -105,7 +105,7 @@
     /// The requests a second that it takes from all VMs together.
     limit: Option<Rate>,
     /// What it may still be sent of that, where this VM counts it.
-    meter: Option<RateLimiter>,
+    rate_limiter: Option<RateLimiter>,
     /// Until when this VM sends it nothing.
     closed: Instant,
     /// Until when it wants nothing of this VM.
--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -34,10 +34,10 @@
         };
         let row = self.notices.rows.entry(server.clone()).or_default();
         let was = std::mem::replace(&mut row.limit, limit);
-        match (limit, &mut row.meter) {
-            (Some(rate), Some(meter)) => meter.set_rate(now, rate),
+        match (limit, &mut row.rate_limiter) {
+            (Some(rate), Some(rate_limiter)) => rate_limiter.set_rate(now, rate),
             (Some(_), None) => {}
-            (None, _) => (row.meter, row.closed) = (None, Instant::default()),
+            (None, _) => (row.rate_limiter, row.closed) = (None, Instant::default()),
         }
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
             scheduler.limit(now, server, limit);
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::Span;
 
-use super::meter::RateLimiter;
+use super::rate_limiter::RateLimiter;
 use crate::cluster::fact::Version;
 use crate::cluster::membership;
 use crate::effect::Effects;
@@ -86,13 +86,13 @@
         let Some(limit) = row.limit else {
             return Ok(());
         };
-        let meter = row
-            .meter
+        let rate_limiter = row
+            .rate_limiter
             .get_or_insert_with(|| RateLimiter::new(now, limit));
-        if meter.try_take(now) {
+        if rate_limiter.try_take(now) {
             Ok(())
         } else {
-            Err(meter.promise(now))
+            Err(rate_limiter.promise(now))
         }
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -43,7 +43,7 @@
 use crate::request::health::{Health, deprioritized};
 use crate::request::notice::Rate;
 use crate::request::notice::leaving::last_resort;
-use crate::request::notice::meter::RateLimiter;
+use crate::request::notice::rate_limiter::RateLimiter;
 use crate::settings::Settings;
 
 use self::adapter_cache::{Beside, Remembering};
@@ -252,10 +252,10 @@
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
-        match (limit, &mut engine.meter) {
-            (Some(rate), Some(meter)) => meter.set_rate(now, rate),
-            (Some(rate), None) => engine.meter = Some(RateLimiter::new(now, rate)),
-            (None, _) => engine.meter = None,
+        match (limit, &mut engine.rate_limiter) {
+            (Some(rate), Some(rate_limiter)) => rate_limiter.set_rate(now, rate),
+            (Some(rate), None) => engine.rate_limiter = Some(RateLimiter::new(now, rate)),
+            (None, _) => engine.rate_limiter = None,
         }
     }
 
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -253,10 +253,10 @@
 
 /// The limit that an engine names and its age, for the log.
 fn limit(engine: &Engine, now: Instant) -> String {
-    engine.meter.as_ref().map_or_else(
+    engine.rate_limiter.as_ref().map_or_else(
         || "-".to_owned(),
-        |meter| {
-            let (rate, age) = meter.limit(now);
+        |rate_limiter| {
+            let (rate, age) = rate_limiter.limit(now);
             format!("{rate},{age}")
         },
     )
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -16,7 +16,7 @@
 use crate::effect::OrderId;
 use crate::event::Report;
 use crate::request::health::Health;
-use crate::request::notice::meter::RateLimiter;
+use crate::request::notice::rate_limiter::RateLimiter;
 
 /// Prompt tokens that an engine reads in a millisecond until some were measured.
 const FIRST_RATE: f64 = 20.0;
@@ -151,7 +151,7 @@
     /// The rest that it asked for.
     pub(crate) rest: Rest,
     /// What it may still be sent, where it names a limit.
-    pub(crate) meter: Option<RateLimiter>,
+    pub(crate) rate_limiter: Option<RateLimiter>,
     /// What requests say of its health.
     pub(crate) health: Health,
     /// Whether it comes last for now.
@@ -184,7 +184,7 @@
             last_order: Instant::default(),
             leaving: Leaving::No,
             rest: Rest::default(),
-            meter: None,
+            rate_limiter: None,
             health: Health::default(),
             last: false,
         }
@@ -213,7 +213,7 @@
         self.kept = Kept::default();
         self.leaving = Leaving::No;
         self.rest = Rest::default();
-        self.meter = None;
+        self.rate_limiter = None;
         self.health = Health::default();
         self.last_order = Instant::default();
     }
@@ -234,14 +234,16 @@
 
     /// Whether its limit leaves room for so many requests and orders now.
     pub(crate) fn may_get(&self, count: u32, now: Instant) -> bool {
-        self.meter
+        self.rate_limiter
             .as_ref()
-            .is_none_or(|meter| meter.available(now) >= f64::from(count))
+            .is_none_or(|rate_limiter| rate_limiter.available(now) >= f64::from(count))
     }
 
     /// Counts a request or an order against its limit, if that leaves room for it.
     pub(crate) fn take_one(&mut self, now: Instant) -> bool {
-        self.meter.as_mut().is_none_or(|meter| meter.try_take(now))
+        self.rate_limiter
+            .as_mut()
+            .is_none_or(|rate_limiter| rate_limiter.try_take(now))
     }
 
     /// Whether it could load a base model and has none, nor one on its way.
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -165,13 +165,13 @@
     fn limited(&self, now: Instant) -> Option<Limited> {
         let mut limited = None;
         for engine in self.engines.values().filter(|engine| engine.usable()) {
-            let meter = engine.meter.as_ref()?;
+            let rate_limiter = engine.rate_limiter.as_ref()?;
             let sum: &mut Limited = limited.get_or_insert(Limited {
                 left: 0.0,
                 rate: 0.0,
             });
-            sum.left += meter.available(now);
-            sum.rate += meter.rate();
+            sum.left += rate_limiter.available(now);
+            sum.rate += rate_limiter.rate();
         }
         limited
     }
