--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -80,7 +80,7 @@
         failed: &[Server],
         fits: impl Fn(&Server) -> bool,
     ) -> Option<Server> {
-        let (now, last) = (self.now, self.last_resort());
+        let (now, last) = (self.now, self.last_resort_period());
         let of = |(server, row): &(&Server, &ServerState)| {
             row.backend.service == *service && fits(server) && self.notices.open(server, now)
         };
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -59,13 +59,13 @@
 
     /// How long a server that leaves is used where no other one is there: it takes requests for a while, and what is sent late in that time
     /// may reach it after.
-    pub(crate) fn last_resort(&self) -> Span {
-        last_resort(self.settings.tuning.drain)
+    pub(crate) fn last_resort_period(&self) -> Span {
+        last_resort_period(self.settings.tuning.drain)
     }
 }
 
 /// The part of the time that leaving servers take requests for in which they are used where no other is there.
-pub(crate) fn last_resort(drain: Span) -> Span {
+pub(crate) fn last_resort_period(drain: Span) -> Span {
     Span(drain.0 / 2)
 }
 
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -364,7 +364,9 @@
 
     /// Whether a server takes requests of this VM.
     pub(crate) fn takes_work(&self, server: &Server) -> bool {
-        let left = self.notices.has_left(server, self.now, self.last_resort());
+        let left = self
+            .notices
+            .has_left(server, self.now, self.last_resort_period());
         let rests = self.notices.rests(server) > self.now;
         let row = self.servers.get(server);
         row.is_some_and(|row| row.backend.ready && !left && !rests)
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -42,7 +42,7 @@
 use crate::message::{Holding, Progress, Running, Want};
 use crate::request::health::{Health, deprioritized};
 use crate::request::notice::Rate;
-use crate::request::notice::leaving::last_resort;
+use crate::request::notice::leaving::last_resort_period;
 use crate::request::notice::rate_limiter::RateLimiter;
 use crate::settings::Settings;
 
@@ -278,7 +278,7 @@
 
     /// Closes the engines that leave. Where no other one is there they are used for a while.
     fn close_leaving(&mut self, now: Instant) {
-        let last = last_resort(self.settings.tuning.drain);
+        let last = last_resort_period(self.settings.tuning.drain);
         let stays =
             |engine: &Engine| engine.known && engine.backend.ready && engine.leaving == Leaving::No;
         let any = self.engines.values().any(stays);
