--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -209,7 +209,7 @@
             if row.backend.service == *service {
                 scheduler.server(server, &row.backend);
                 self.notices
-                    .brief(self.now, &self.settings.vm, &mut scheduler, server);
+                    .inform_scheduler(self.now, &self.settings.vm, &mut scheduler, server);
             }
         }
         for change in self.facts.present() {
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -71,7 +71,13 @@
 
 impl super::ServerNotices {
     /// Tells a scheduler what an engine has said of itself.
-    pub(crate) fn brief(&self, now: Instant, me: &Vm, scheduler: &mut Scheduler, server: &Server) {
+    pub(crate) fn inform_scheduler(
+        &self,
+        now: Instant,
+        me: &Vm,
+        scheduler: &mut Scheduler,
+        server: &Server,
+    ) {
         if let Some(limit) = self.limit(server) {
             scheduler.limit(now, server, Some(limit));
         }
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -20,7 +20,7 @@
         scheduler.server(server, backend);
         if !known {
             self.notices
-                .brief(self.now, &self.settings.vm, scheduler, server);
+                .inform_scheduler(self.now, &self.settings.vm, scheduler, server);
         }
     }
 
