--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -214,7 +214,7 @@
             let (service, address) = (&backend.service, backend.address);
             let detail = format!("server={server} service={service} address={address}");
             Self::log(out, Code::ServerListed, detail);
-            self.notices.listed(server, backend.start);
+            self.notices.server_listed(server, backend.start);
             self.servers
                 .insert(server.clone(), ServerState::new(backend.clone()));
         }
@@ -225,7 +225,7 @@
         if let Some(row) = self.servers.remove(server) {
             Self::log(out, Code::ServerGone, format!("server={server}"));
             let leaving = self.notices.leaving(server).is_some();
-            self.notices.unlisted(server, self.now);
+            self.notices.server_unlisted(server, self.now);
             out.push(Effect::Track(server.clone(), false));
             // The end of one that was leaving is its own.
             if row.backend.ready && !leaving {
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -101,14 +101,14 @@
     }
 
     /// A server has an entry again, of this start of it: what an earlier start said does not hold.
-    pub(crate) fn listed(&mut self, server: &Server, start: Option<Incarnation>) {
+    pub(crate) fn server_listed(&mut self, server: &Server, start: Option<Incarnation>) {
         if self.rows.get(server).is_some_and(|row| row.start != start) {
             self.rows.remove(server);
         }
     }
 
     /// A server has no entry any more: that it leaves is remembered for a while.
-    pub(crate) fn unlisted(&mut self, server: &Server, now: Instant) {
+    pub(crate) fn server_unlisted(&mut self, server: &Server, now: Instant) {
         if let Some(row) = self.rows.remove(server).filter(|row| row.leaving.is_some()) {
             let kept = super::Row {
                 leaving: row.leaving,
