--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -196,7 +196,7 @@
     }
 
     /// All that servers of a service have said to this VM or others, as messages to a new scheduler of it.
-    pub(crate) fn notices_of(&self, service: &Service) -> Vec<Message> {
+    pub(crate) fn notice_messages(&self, service: &Service) -> Vec<Message> {
         let of = |server: &Server| self.service_of(server).as_ref() == Some(service);
         let rows = self.notices.rows.iter().filter(|(server, _)| of(server));
         let messages = rows.flat_map(|(server, row)| {
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -392,7 +392,7 @@
             Message::Hello(service.clone(), self.member(), running, wants),
             out,
         );
-        for message in self.notices_of(service) {
+        for message in self.notice_messages(service) {
             self.send(&holder, message, out);
         }
     }
