--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -354,7 +354,9 @@
                 self.mark_leaving(from, &server, start, out);
             }
             Message::Rest(server, span) => self.hold_places(from, &server, span),
-            Message::Permit(request, server) => self.permit_asked(from, request, server, out),
+            Message::Permit(request, server) => {
+                self.handle_permit_request(from, request, server, out)
+            }
             Message::Permitted(request, server, answer) => {
                 self.permitted(request, &server, answer, out);
             }
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -66,7 +66,7 @@
     }
 
     /// A VM asks for leave to send a request to a server.
-    pub(crate) fn permit_asked(
+    pub(crate) fn handle_permit_request(
         &mut self,
         from: &Vm,
         request: RequestId,
