--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -358,7 +358,7 @@
                 self.handle_permit_request(from, request, server, out)
             }
             Message::Permitted(request, server, answer) => {
-                self.permitted(request, &server, answer, out);
+                self.handle_permit_reply(request, &server, answer, out);
             }
             Message::Draw(draw) => self.drawn(from, draw, out),
             Message::Grant(grant) => self.granted(&grant, out),
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -49,7 +49,7 @@
         let issuer = self.permit_issuer(server);
         if issuer == self.settings.vm {
             let answer = self.permit(server);
-            self.permitted(request, server, answer, out);
+            self.handle_permit_reply(request, server, answer, out);
         } else {
             self.timers.set(until, Timer::Request(request));
             let message = Message::Permit(request, server.clone());
@@ -97,7 +97,7 @@
     }
 
     /// A request may be sent to a server, or none of this VM may be before a time.
-    pub(crate) fn permitted(
+    pub(crate) fn handle_permit_reply(
         &mut self,
         request: RequestId,
         server: &Server,
