--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -11,7 +11,7 @@
 use crate::event::{Cause, Ran, RequestId, Work};
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Rate;
-use crate::request::quarantine::{Standing, Strike};
+use crate::request::quarantine::{CrashReport, Standing};
 
 /// A request that wants a place at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -111,7 +111,7 @@
     /// Changes of the key-value service.
     Replicate(Replication),
     /// To a VM that counts them: servers ended while they had these requests.
-    Struck(Vec<Strike>),
+    Struck(Vec<CrashReport>),
     /// What is known of requests that servers have ended under.
     Standings(Vec<(Fingerprint, Standing)>),
     /// To the VM that keeps the pool of tokens: a VM runs short.
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -38,7 +38,7 @@
 use crate::request::fingerprint::Fingerprint;
 use crate::request::state::{self, RefusalDetail};
 
-pub use self::strikes::Strike;
+pub use self::strikes::CrashReport;
 
 /// How long a request is refused: the longest lease that the key-value service grants, under which its record lies. After that one
 /// more strike is enough.
@@ -118,7 +118,7 @@
 impl Gateway {
     /// A server has ended while requests ran there.
     fn strike(&mut self, server: &Server, suspects: &[Suspect], out: &mut Effects) {
-        let strikes: Vec<Strike> = suspects.iter().map(|s| s.strike(self.now)).collect();
+        let strikes: Vec<CrashReport> = suspects.iter().map(|s| s.strike(self.now)).collect();
         let calls = strikes.iter().take(NAMED);
         let calls: Vec<String> = calls.map(|s| s.fingerprint.to_string()).collect();
         let detail = format!(
@@ -127,7 +127,7 @@
             calls.join(",")
         );
         Self::log(out, Code::ServerEnded, detail);
-        let mut told: BTreeMap<Vm, Vec<Strike>> = BTreeMap::new();
+        let mut told: BTreeMap<Vm, Vec<CrashReport>> = BTreeMap::new();
         for strike in &strikes {
             for vm in self.counters(strike.fingerprint) {
                 told.entry(vm.clone()).or_default().push(*strike);
@@ -149,13 +149,18 @@
     }
 
     /// Another VM tells of strikes. What it does not know of their requests yet it is told in turn.
-    pub(crate) fn receive_strikes(&mut self, from: &Vm, strikes: &[Strike], out: &mut Effects) {
+    pub(crate) fn receive_strikes(
+        &mut self,
+        from: &Vm,
+        strikes: &[CrashReport],
+        out: &mut Effects,
+    ) {
         let struck = strikes.iter().map(|strike| strike.fingerprint);
         self.tell_refused(from, struck, out);
         self.count_strikes(strikes, out);
     }
 
-    fn count_strikes(&mut self, strikes: &[Strike], out: &mut Effects) {
+    fn count_strikes(&mut self, strikes: &[CrashReport], out: &mut Effects) {
         let mut told = Vec::new();
         for strike in strikes {
             let fingerprint = strike.fingerprint;
--- a/crates/gateway/src/request/quarantine/strikes.rs
+++ b/crates/gateway/src/request/quarantine/strikes.rs
@@ -18,7 +18,7 @@
 
 /// A server ended while it had a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Strike {
+pub struct CrashReport {
     /// The request.
     pub fingerprint: Fingerprint,
     /// How long ago it was sent to the server.
@@ -63,7 +63,7 @@
 
     /// Counts a strike. One of a request that was sent before the last server had ended says nothing more: many servers may end at
     /// one moment for a cause of their own, and a server's end is told by each VM that had the request there.
-    pub(crate) fn strike(&mut self, now: Instant, strike: &Strike) -> Count {
+    pub(crate) fn strike(&mut self, now: Instant, strike: &CrashReport) -> Count {
         let (sent, broke) = (now.back(strike.sent), now.back(strike.broke));
         let row = match self.rows.get(&strike.fingerprint) {
             Some(row) if sent <= row.broke => return Count::Few,
--- a/crates/gateway/src/request/quarantine/suspects.rs
+++ b/crates/gateway/src/request/quarantine/suspects.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
 
-use super::strikes::Strike;
+use super::strikes::CrashReport;
 use crate::request::fingerprint::Fingerprint;
 
 /// How long after a connection broke the server's end is taken for its reason: three heartbeats that don't come, and some.
@@ -30,8 +30,8 @@
 
 impl Suspect {
     /// What other VMs are told, with times as ages since clocks differ.
-    pub(crate) fn strike(&self, now: Instant) -> Strike {
-        Strike {
+    pub(crate) fn strike(&self, now: Instant) -> CrashReport {
+        CrashReport {
             fingerprint: self.fingerprint,
             sent: now.since(self.sent),
             broke: now.since(self.broke),
