--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -111,7 +111,7 @@
     /// Changes of the key-value service.
     Replicate(Replication),
     /// To a VM that counts them: servers ended while they had these requests.
-    Struck(Vec<CrashReport>),
+    CrashReports(Vec<CrashReport>),
     /// What is known of requests that servers have ended under.
     Standings(Vec<(Fingerprint, Standing)>),
     /// To the VM that keeps the pool of tokens: a VM runs short.
@@ -151,7 +151,7 @@
             Self::LeaseVote(..) => "lease_vote",
             Self::Follow(..) => "follow",
             Self::Replicate(_) => "replicate",
-            Self::Struck(_) => "struck",
+            Self::CrashReports(_) => "struck",
             Self::Standings(_) => "standings",
             Self::Draw(_) => "draw",
             Self::Grant(_) => "grant",
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -135,7 +135,7 @@
         }
         told.remove(&self.settings.vm);
         for (vm, strikes) in told {
-            self.send(&vm, Message::Struck(strikes), out);
+            self.send(&vm, Message::CrashReports(strikes), out);
         }
         // Whether or not it is one that counts: it may be parted from those.
         self.count_strikes(&strikes, out);
