--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -347,7 +347,7 @@
                     self.keep_residents(&service, residents);
                 }
             }
-            Message::CrashReports(strikes) => self.receive_strikes(from, &strikes, out),
+            Message::CrashReports(strikes) => self.handle_crash_reports(from, &strikes, out),
             Message::Standings(told) => self.standings(told, out),
             Message::Limit(server, limit) => self.set_limit(from, &server, limit, out),
             Message::Leaving(server, start) => {
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -149,7 +149,7 @@
     }
 
     /// Another VM tells of strikes. What it does not know of their requests yet it is told in turn.
-    pub(crate) fn receive_strikes(
+    pub(crate) fn handle_crash_reports(
         &mut self,
         from: &Vm,
         strikes: &[CrashReport],
