--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -11,7 +11,7 @@
 use crate::event::{Cause, Ran, RequestId, Work};
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Rate;
-use crate::request::quarantine::{CrashReport, Standing};
+use crate::request::quarantine::{CrashReport, QuarantineStatus};
 
 /// A request that wants a place at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -113,7 +113,7 @@
     /// To a VM that counts them: servers ended while they had these requests.
     CrashReports(Vec<CrashReport>),
     /// What is known of requests that servers have ended under.
-    Standings(Vec<(Fingerprint, Standing)>),
+    Standings(Vec<(Fingerprint, QuarantineStatus)>),
     /// To the VM that keeps the pool of tokens: a VM runs short.
     Draw(Draw),
     /// From the VM that keeps the pool: the answer to a draw.
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -61,7 +61,7 @@
 
 /// What is known of a request that servers have ended under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// It has strikes, and a whole answer takes them away.
     Watched,
     /// It is refused for so long.
@@ -170,11 +170,11 @@
                 Count::Enough if !known => {
                     self.put_in_quarantine(fingerprint, LENGTH, "strikes", out);
                     self.record(fingerprint, out);
-                    told.push((fingerprint, Standing::Quarantined(LENGTH)));
+                    told.push((fingerprint, QuarantineStatus::Quarantined(LENGTH)));
                 }
                 Count::Suspect if !self.quarantine.watches(fingerprint) => {
                     self.quarantine.watched.insert(self.now, fingerprint, ());
-                    told.push((fingerprint, Standing::Watched));
+                    told.push((fingerprint, QuarantineStatus::Watched));
                 }
                 _ => {}
             }
@@ -185,14 +185,20 @@
     }
 
     /// Another VM tells what is known of requests.
-    pub(crate) fn standings(&mut self, told: Vec<(Fingerprint, Standing)>, out: &mut Effects) {
+    pub(crate) fn standings(
+        &mut self,
+        told: Vec<(Fingerprint, QuarantineStatus)>,
+        out: &mut Effects,
+    ) {
         for (fingerprint, standing) in told {
             match standing {
-                Standing::Watched => self.quarantine.watched.insert(self.now, fingerprint, ()),
-                Standing::Quarantined(left) => {
+                QuarantineStatus::Watched => {
+                    self.quarantine.watched.insert(self.now, fingerprint, ())
+                }
+                QuarantineStatus::Quarantined(left) => {
                     self.put_in_quarantine(fingerprint, left, "peer", out);
                 }
-                Standing::Cleared => self.clear(fingerprint, "answered_elsewhere", out),
+                QuarantineStatus::Cleared => self.clear(fingerprint, "answered_elsewhere", out),
             }
         }
     }
@@ -262,7 +268,7 @@
         }
         self.clear(fingerprint, "answered", out);
         self.remove_record(fingerprint, out);
-        let told = vec![(fingerprint, Standing::Cleared)];
+        let told = vec![(fingerprint, QuarantineStatus::Cleared)];
         self.tell_all(&Message::Standings(told), out);
     }
 
@@ -280,9 +286,9 @@
     ) {
         let refused = requests.filter_map(|fingerprint| {
             let left = self.quarantine.left(fingerprint, self.now)?;
-            Some((fingerprint, Standing::Quarantined(left)))
+            Some((fingerprint, QuarantineStatus::Quarantined(left)))
         });
-        let told: Vec<(Fingerprint, Standing)> = refused.take(TOLD_AT_ONCE).collect();
+        let told: Vec<(Fingerprint, QuarantineStatus)> = refused.take(TOLD_AT_ONCE).collect();
         if !told.is_empty() {
             self.send(vm, Message::Standings(told), out);
         }
