--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -113,7 +113,7 @@
     /// To a VM that counts them: servers ended while they had these requests.
     CrashReports(Vec<CrashReport>),
     /// What is known of requests that servers have ended under.
-    Standings(Vec<(Fingerprint, QuarantineStatus)>),
+    QuarantineStatuses(Vec<(Fingerprint, QuarantineStatus)>),
     /// To the VM that keeps the pool of tokens: a VM runs short.
     Draw(Draw),
     /// From the VM that keeps the pool: the answer to a draw.
@@ -152,7 +152,7 @@
             Self::Follow(..) => "follow",
             Self::Replicate(_) => "replicate",
             Self::CrashReports(_) => "struck",
-            Self::Standings(_) => "standings",
+            Self::QuarantineStatuses(_) => "standings",
             Self::Draw(_) => "draw",
             Self::Grant(_) => "grant",
             Self::Collect(..) => "collect",
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -180,7 +180,7 @@
             }
         }
         if !told.is_empty() {
-            self.tell_all(&Message::Standings(told), out);
+            self.tell_all(&Message::QuarantineStatuses(told), out);
         }
     }
 
@@ -269,7 +269,7 @@
         self.clear(fingerprint, "answered", out);
         self.remove_record(fingerprint, out);
         let told = vec![(fingerprint, QuarantineStatus::Cleared)];
-        self.tell_all(&Message::Standings(told), out);
+        self.tell_all(&Message::QuarantineStatuses(told), out);
     }
 
     /// Tells a VM that knows nothing yet which requests are refused.
@@ -290,7 +290,7 @@
         });
         let told: Vec<(Fingerprint, QuarantineStatus)> = refused.take(TOLD_AT_ONCE).collect();
         if !told.is_empty() {
-            self.send(vm, Message::Standings(told), out);
+            self.send(vm, Message::QuarantineStatuses(told), out);
         }
     }
 
