--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -185,7 +185,7 @@
     }
 
     /// Another VM tells what is known of requests.
-    pub(crate) fn standings(
+    pub(crate) fn handle_quarantine_statuses(
         &mut self,
         told: Vec<(Fingerprint, QuarantineStatus)>,
         out: &mut Effects,
