--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -12,7 +12,7 @@
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
 use crate::request::load_balancer::ServerState;
-use crate::request::quarantine::LENGTH;
+use crate::request::quarantine::QUARANTINE_DURATION;
 use crate::timer::Timer;
 
 /// The least time between two lines on entries that can't be read.
@@ -132,7 +132,7 @@
             }
             (Subject::Holder(service), _) => self.holder_gone(&service, out),
             (Subject::Quarantine(fingerprint), Some(_)) => {
-                self.put_in_quarantine(fingerprint, LENGTH, "record", out);
+                self.put_in_quarantine(fingerprint, QUARANTINE_DURATION, "record", out);
             }
             (Subject::Quarantine(fingerprint), None) => {
                 self.end_quarantine(fingerprint, "record_gone", out);
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -42,7 +42,7 @@
 
 /// How long a request is refused: the longest lease that the key-value service grants, under which its record lies. After that one
 /// more strike is enough.
-pub const LENGTH: Span = Span::from_secs(600);
+pub const QUARANTINE_DURATION: Span = Span::from_secs(600);
 
 /// How long strikes are remembered: beyond a quarantine, so that a request that is tried after it needs no three servers again.
 const REMEMBERED: Span = Span::from_secs(1_800);
@@ -91,7 +91,7 @@
             suspects: suspects::State::default(),
             tally: Tally::new(REMEMBERED),
             watched: Aged::new(MOST, REMEMBERED),
-            quarantined: Aged::new(MOST, LENGTH),
+            quarantined: Aged::new(MOST, QUARANTINE_DURATION),
             records: record::State::default(),
         }
     }
@@ -168,9 +168,12 @@
             let known = self.quarantine.left(fingerprint, self.now).is_some();
             match counted {
                 Count::Enough if !known => {
-                    self.put_in_quarantine(fingerprint, LENGTH, "strikes", out);
+                    self.put_in_quarantine(fingerprint, QUARANTINE_DURATION, "strikes", out);
                     self.record(fingerprint, out);
-                    told.push((fingerprint, QuarantineStatus::Quarantined(LENGTH)));
+                    told.push((
+                        fingerprint,
+                        QuarantineStatus::Quarantined(QUARANTINE_DURATION),
+                    ));
                 }
                 Count::Suspect if !self.quarantine.watches(fingerprint) => {
                     self.quarantine.watched.insert(self.now, fingerprint, ());
@@ -214,7 +217,7 @@
         if self.quarantine.left(fingerprint, self.now).is_some() {
             return;
         }
-        let length = length.min(LENGTH);
+        let length = length.min(QUARANTINE_DURATION);
         let until = self.now + length;
         self.quarantine
             .quarantined
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -5,7 +5,7 @@
 
 use dahliastile_core::time::{Instant, Span};
 
-use super::LENGTH;
+use super::QUARANTINE_DURATION;
 use crate::cluster::fact::{Fact, Revision, Subject, Way, own};
 use crate::cluster::lease::backoff;
 use crate::effect::{Effects, Op, OpId};
@@ -171,7 +171,7 @@
                 let change = own(subject.clone(), Fact::Quarantine);
                 (purpose, Op::Put(change, lease, vec![(subject, 0)]))
             }
-            (Goal::Present, _, None) => (Purpose::Lease, Op::Grant(LENGTH)),
+            (Goal::Present, _, None) => (Purpose::Lease, Op::Grant(QUARANTINE_DURATION)),
         };
         let id = self.store(op, out);
         self.quarantine.records.call = Some((id, purpose));
