--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -297,7 +297,7 @@
         } else if self.registration.owns(op) {
             self.registration_answered(op, outcome, out);
         } else if self.quarantine.owns(op) {
-            self.recorded(outcome, out);
+            self.handle_quarantine_outcome(outcome, out);
         } else {
             self.leadership_answered(op, outcome, out);
         }
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -178,7 +178,7 @@
     }
 
     /// A call on records came back.
-    pub(crate) fn recorded(&mut self, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_quarantine_outcome(&mut self, outcome: Outcome, out: &mut Effects) {
         let now = self.now;
         let records = &mut self.quarantine.records;
         let Some((_, purpose)) = records.call.take() else {
