--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -86,7 +86,7 @@
         }
         let rest = self.rests(server).since(now);
         if rest > Span::ZERO {
-            scheduler.rest(now, me, server, rest);
+            scheduler.start_cooldown(now, me, server, rest);
         }
     }
 
--- a/crates/gateway/src/request/notice/rest.rs
+++ b/crates/gateway/src/request/notice/rest.rs
@@ -41,7 +41,7 @@
     pub(crate) fn hold_places(&mut self, vm: &Vm, server: &Server, span: Span) {
         let service = self.service_of(server);
         if let Some(scheduler) = service.and_then(|service| self.schedulers.get_mut(&service)) {
-            scheduler.rest(self.now, vm, server, span);
+            scheduler.start_cooldown(self.now, vm, server, span);
         }
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -269,7 +269,7 @@
     }
 
     /// An engine has turned a request of a VM away and asked for rest.
-    pub(crate) fn rest(&mut self, now: Instant, vm: &Vm, server: &Server, span: Span) {
+    pub(crate) fn start_cooldown(&mut self, now: Instant, vm: &Vm, server: &Server, span: Span) {
         self.dirty = true;
         if let Some(engine) = self.engines.get_mut(server) {
             engine.rest.ask(now, vm, span);
