--- a/crates/gateway/src/scheduler/cooldown.rs
+++ b/crates/gateway/src/scheduler/cooldown.rs
@@ -19,7 +19,7 @@
 
 /// The rest that one engine asked for.
 #[derive(Debug, Default)]
-pub(crate) struct Rest {
+pub(crate) struct Cooldown {
     /// Until when each VM sends it nothing.
     vms: BTreeMap<Vm, Instant>,
     /// How often in a row it has turned one away that tried it.
@@ -30,7 +30,7 @@
     tried: bool,
 }
 
-impl Rest {
+impl Cooldown {
     /// The engine has turned a request of a VM away.
     pub(crate) fn ask(&mut self, now: Instant, vm: &Vm, span: Span) {
         let until = self.vms.entry(vm.clone()).or_default();
