--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -127,7 +127,7 @@
     /// A server is leaving, as this start of it says.
     Leaving(Server, Option<Incarnation>),
     /// To the scheduler: a server has asked the sender for so much rest.
-    Rest(Server, Span),
+    ServerCooldown(Server, Span),
     /// To the VM that counts what a server is sent: may this request go there?
     Permit(RequestId, Server),
     /// From that VM: it may, or when to ask again.
@@ -159,7 +159,7 @@
             Self::Deposit(..) => "deposit",
             Self::Limit(..) => "limit",
             Self::Leaving(..) => "leaving",
-            Self::Rest(..) => "rest",
+            Self::ServerCooldown(..) => "rest",
             Self::Permit(..) => "permit",
             Self::Permitted(..) => "permitted",
         }
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -201,7 +201,7 @@
         let rows = self.notices.rows.iter().filter(|(server, _)| of(server));
         let messages = rows.flat_map(|(server, row)| {
             let rest = row.rests.since(self.now);
-            let rest = (rest > Span::ZERO).then(|| Message::Rest(server.clone(), rest));
+            let rest = (rest > Span::ZERO).then(|| Message::ServerCooldown(server.clone(), rest));
             row.for_all(server).chain(rest)
         });
         messages.collect()
--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -32,7 +32,7 @@
         let me = self.settings.vm.clone();
         match self.scheduler_of(&service) {
             Some(vm) if vm == me => self.hold_places(&me, server, span),
-            Some(vm) => self.send(&vm, Message::Rest(server.clone(), span), out),
+            Some(vm) => self.send(&vm, Message::ServerCooldown(server.clone(), span), out),
             None => {}
         }
     }
