--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -4,11 +4,11 @@
 //! service's scheduler, or else the VM that hashing names ([`permit`]); and that one tells all. Each VM must know whose answers to look at
 //! for the end of a limit, and which servers leave.
 
+mod cooldown;
 pub(crate) mod leaving;
 mod limit;
 mod permit;
 pub(crate) mod rate_limiter;
-mod rest;
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -81,7 +81,7 @@
     /// Whether the server is leaving.
     pub leaving: bool,
     /// How long the server, which turns a request away, wants nothing more of the VM that sent it.
-    pub rest: NoticeField<Span>,
+    pub cooldown: NoticeField<Span>,
 }
 
 impl Notice {
@@ -164,8 +164,8 @@
         if notice.leaving {
             self.report_leaving(server, out);
         }
-        if let NoticeField::Present(rest) = notice.rest {
-            self.report_rest(server, rest, out);
+        if let NoticeField::Present(cooldown) = notice.cooldown {
+            self.report_rest(server, cooldown, out);
         }
         match notice.limit {
             NoticeField::Absent => self.report_limit(server, None, out),
@@ -178,7 +178,7 @@
     fn note_unreadable_word(server: &Server, notice: Notice, out: &mut Effects) {
         let words = [
             ("limit", notice.limit == NoticeField::Unreadable),
-            ("rest", notice.rest == NoticeField::Unreadable),
+            ("rest", notice.cooldown == NoticeField::Unreadable),
         ];
         for (word, _) in words.iter().filter(|(_, unreadable)| *unreadable) {
             let detail = format!("server={server} {word}=unreadable");
@@ -200,9 +200,10 @@
         let of = |server: &Server| self.service_of(server).as_ref() == Some(service);
         let rows = self.notices.rows.iter().filter(|(server, _)| of(server));
         let messages = rows.flat_map(|(server, row)| {
-            let rest = row.rests.since(self.now);
-            let rest = (rest > Span::ZERO).then(|| Message::ServerCooldown(server.clone(), rest));
-            row.for_all(server).chain(rest)
+            let cooldown = row.rests.since(self.now);
+            let cooldown =
+                (cooldown > Span::ZERO).then(|| Message::ServerCooldown(server.clone(), cooldown));
+            row.for_all(server).chain(cooldown)
         });
         messages.collect()
     }
--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -48,9 +48,9 @@
     /// Declines the place that the scheduler found for a request, and tells it why once more: it may not have heard. The request goes
     /// elsewhere, as the scheduler may think otherwise of the server for a while.
     pub(crate) fn decline_place(&mut self, request: RequestId, server: &Server, out: &mut Effects) {
-        let rest = self.notices.rests(server).since(self.now);
-        if rest > Span::ZERO {
-            self.send_rest(server, rest, out);
+        let cooldown = self.notices.rests(server).since(self.now);
+        if cooldown > Span::ZERO {
+            self.send_rest(server, cooldown, out);
         }
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.failed.push(server.clone());
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -84,9 +84,9 @@
         if let Some(at) = self.leaving(server) {
             scheduler.leaving(server, at);
         }
-        let rest = self.rests(server).since(now);
-        if rest > Span::ZERO {
-            scheduler.start_cooldown(now, me, server, rest);
+        let cooldown = self.rests(server).since(now);
+        if cooldown > Span::ZERO {
+            scheduler.start_cooldown(now, me, server, cooldown);
         }
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -8,6 +8,7 @@
 mod admission;
 mod capacity;
 pub(crate) mod client;
+mod cooldown;
 mod dispatch;
 mod engine;
 mod forecast;
@@ -20,7 +21,6 @@
 mod prefix_cache;
 mod reservations;
 mod residency;
-mod rest;
 mod run;
 mod run_interval;
 mod summary;
@@ -272,7 +272,7 @@
     pub(crate) fn start_cooldown(&mut self, now: Instant, vm: &Vm, server: &Server, span: Span) {
         self.dirty = true;
         if let Some(engine) = self.engines.get_mut(server) {
-            engine.rest.ask(now, vm, span);
+            engine.cooldown.ask(now, vm, span);
         }
     }
 
--- a/crates/gateway/src/scheduler/capacity.rs
+++ b/crates/gateway/src/scheduler/capacity.rs
@@ -132,8 +132,8 @@
     pub(crate) fn takes_adapters(&self, now: Instant, engine: &Engine, model: &Arc<str>) -> bool {
         engine.usable()
             && engine.may_get(FOR_A_LOAD, now)
-            && !engine.rest.turns_away()
-            && engine.rest.allows(now, &self.settings.vm)
+            && !engine.cooldown.turns_away()
+            && engine.cooldown.allows(now, &self.settings.vm)
             && !engine.last
             && !engine.stuck()
             && engine.coming() < self.settings.tuning.loads_per_server
--- a/crates/gateway/src/scheduler/cooldown.rs
+++ b/crates/gateway/src/scheduler/cooldown.rs
@@ -71,11 +71,11 @@
 
     /// From when on a VM may send it something.
     pub(crate) fn ends(&self, vm: &Vm) -> Instant {
-        let rest = self.vms.get(vm).copied().unwrap_or_default();
+        let cooldown = self.vms.get(vm).copied().unwrap_or_default();
         if self.turned_away > 0 {
-            rest.max(self.next)
+            cooldown.max(self.next)
         } else {
-            rest
+            cooldown
         }
     }
 
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -66,7 +66,7 @@
     fn best(&self, now: Instant, vm: &Vm, job: &Job, spread: &Spread) -> Option<(Server, Span)> {
         let zones = self.settings.uses(Feature::ZonePreference);
         let cost = |server: &Server, engine: &Engine| {
-            let open = engine.usable() && engine.may_get(1, now) && engine.rest.allows(now, vm);
+            let open = engine.usable() && engine.may_get(1, now) && engine.cooldown.allows(now, vm);
             let fit = open && !job.failed.contains(server);
             fit.then(|| cost(engine, job, now, zones))
         };
@@ -97,7 +97,7 @@
         self.occupy(&job, server);
         if let Some(engine) = self.engines.get_mut(server) {
             engine.take_one(now);
-            engine.rest.give(now);
+            engine.cooldown.give(now);
             engine.add(now, job.reads);
             let waited = now.since(job.arrived);
             let adapter = job.work.adapter.as_deref().unwrap_or("-");
@@ -176,7 +176,7 @@
         };
         engine.read(now, reads, since);
         engine.health.record_success(now);
-        engine.rest.begin();
+        engine.cooldown.begin();
         let place = key.and_then(|key| engine.places.get_mut(&key));
         if let Some(place) = place {
             let first = std::mem::replace(&mut place.fresh, false);
@@ -214,7 +214,7 @@
         };
         match cause {
             // It says nothing of its adapters.
-            Cause::Full if engine.rest.turns_away() => {}
+            Cause::Full if engine.cooldown.turns_away() => {}
             Cause::Missing | Cause::Full if ran == Ran::No => {
                 let place = key.and_then(|key| engine.places.get_mut(&key));
                 match place {
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -7,11 +7,11 @@
 use dahliastile_core::time::{Instant, Span};
 
 use super::adapter_cache::Recent;
+use super::cooldown::Cooldown;
 use super::forecast::reading;
 use super::job::Job;
 use super::key::{Key, Keys};
 use super::prefix_cache::Kept;
-use super::rest::Cooldown;
 use crate::cluster::fact::{Backend, Resident, Version};
 use crate::effect::OrderId;
 use crate::event::Report;
@@ -149,7 +149,7 @@
     /// Whether it is leaving, as it says.
     pub(crate) leaving: Leaving,
     /// The rest that it asked for.
-    pub(crate) rest: Cooldown,
+    pub(crate) cooldown: Cooldown,
     /// What it may still be sent, where it names a limit.
     pub(crate) rate_limiter: Option<RateLimiter>,
     /// What requests say of its health.
@@ -183,7 +183,7 @@
             tries: 0,
             last_order: Instant::default(),
             leaving: Leaving::No,
-            rest: Cooldown::default(),
+            cooldown: Cooldown::default(),
             rate_limiter: None,
             health: Health::default(),
             last: false,
@@ -212,7 +212,7 @@
         self.places.clear();
         self.kept = Kept::default();
         self.leaving = Leaving::No;
-        self.rest = Cooldown::default();
+        self.cooldown = Cooldown::default();
         self.rate_limiter = None;
         self.health = Health::default();
         self.last_order = Instant::default();
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -108,7 +108,7 @@
     /// The forecast of all waiting requests, in their order.
     pub(crate) fn forecast(&self, now: Instant, spread: &Spread) -> Vec<Wait> {
         let rates = self.engines.values().map(|engine| engine.rate);
-        let rests = self.engines.values().any(|e| e.rest.is_asked(now));
+        let rests = self.engines.values().any(|e| e.cooldown.is_asked(now));
         let mut ahead = Ahead {
             loading: self.loading(),
             slowest: rates.fold(f64::MAX, f64::min),
@@ -130,13 +130,17 @@
         ids.filter_map(|id| {
             let (what, span) = self.wait_of(now, &id, self.jobs.get(&id)?, spread, &mut ahead);
             let limited = ahead.limited.as_mut().map(|limited| limited.next(what));
-            let rest = ahead.next_end(&id.vm, |vm| self.rest_ends(now, vm));
+            let cooldown = ahead.next_end(&id.vm, |vm| self.rest_ends(now, vm));
             let loads = if what == For::Load {
                 no_loads
             } else {
                 Span::ZERO
             };
-            let engine = limited.unwrap_or_default().max(rest).max(closed).max(loads);
+            let engine = limited
+                .unwrap_or_default()
+                .max(cooldown)
+                .max(closed)
+                .max(loads);
             let (what, span) = if engine > span {
                 (For::Engine, engine)
             } else {
@@ -157,7 +161,7 @@
     /// Whether all engines turn requests away, and so are ordered no loads.
     fn all_turn_away(&self) -> bool {
         let usable = self.engines.values().filter(|engine| engine.usable());
-        let turns_away = usable.map(|engine| engine.rest.turns_away());
+        let turns_away = usable.map(|engine| engine.cooldown.turns_away());
         turns_away.reduce(|all, one| all && one).unwrap_or(false)
     }
 
@@ -179,7 +183,7 @@
     /// How long each engine wants nothing of a VM, the shortest first.
     fn rest_ends(&self, now: Instant, vm: &Vm) -> Vec<Span> {
         let usable = self.engines.values().filter(|engine| engine.usable());
-        let ends = usable.map(|engine| engine.rest.ends(vm).since(now));
+        let ends = usable.map(|engine| engine.cooldown.ends(vm).since(now));
         let mut ends: Vec<Span> = ends.collect();
         ends.sort_unstable();
         ends
@@ -199,7 +203,7 @@
             return (For::Room, least.unwrap_or(Span::ZERO));
         };
         let holders = self.holders(job, key, spread);
-        let open = |engine: &&Engine| engine.rest.allows(now, &id.vm);
+        let open = |engine: &&Engine| engine.cooldown.allows(now, &id.vm);
         let holders: Vec<&Engine> = holders.filter(open).collect();
         let least = holders.iter().map(|engine| engine.reads(job)).min();
         let reads = least.unwrap_or(job.work.prompt);
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -260,7 +260,7 @@
         let servers = self.remembering.servers(key).iter();
         let engines = servers.filter_map(|server| self.engines.get(server));
         let open = |engine: &&Engine| {
-            engine.usable() && engine.may_get(1, now) && !engine.rest.turns_away()
+            engine.usable() && engine.may_get(1, now) && !engine.cooldown.turns_away()
         };
         let mut open = engines.filter(open);
         open.any(|engine| self.lies_beside(engine, key).is_some())
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -28,7 +28,7 @@
     pub(crate) fn settle(&mut self, now: Instant, out: &mut Vec<Decision>) {
         let mut next = Instant::NEVER;
         for engine in self.engines.values_mut() {
-            engine.rest.forget_ended(now);
+            engine.cooldown.forget_ended(now);
             for place in engine.places.values_mut() {
                 match place.stage {
                     Stage::Coming(at) if at <= now => place.stage = Stage::Ready,
@@ -56,7 +56,7 @@
         let unknown = self.engines.iter().filter(|(_, engine)| !engine.known);
         let (mut due, later): (Vec<_>, Vec<_>) = unknown
             .map(|(server, engine)| {
-                let open = engine.rest.ends(&self.settings.vm);
+                let open = engine.cooldown.ends(&self.settings.vm);
                 (report_due(engine, now).max(open), server.clone())
             })
             .partition(|(at, _)| *at <= now);
@@ -116,7 +116,7 @@
     pub(crate) fn send_orders(&mut self, now: Instant, out: &mut Vec<Decision>) {
         let (fence, me) = (self.fence(), &self.settings.vm);
         for (server, engine) in &mut self.engines {
-            let open = engine.usable() && engine.may_get(1, now) && engine.rest.allows(now, me);
+            let open = engine.usable() && engine.may_get(1, now) && engine.cooldown.allows(now, me);
             if !open || engine.pending.is_some() {
                 continue;
             }
