--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -163,13 +163,13 @@
         } = head;
         let mut notice = self.notices.says[&server];
         if !turned_away {
-            notice.rest = NoticeField::Absent;
+            notice.cooldown = NoticeField::Absent;
         }
         let key = (vm, start, server.clone());
         if notice.leaving {
             self.notices.left.entry(key.clone()).or_insert(self.now);
         }
-        if let NoticeField::Present(span) = notice.rest {
+        if let NoticeField::Present(span) = notice.cooldown {
             self.notices.rests.push(Rest {
                 at: self.now,
                 span,
@@ -299,7 +299,7 @@
         let server: Server = name(id);
         let (engine, _) = self.servers.get_mut(&server).expect("a server");
         engine.resting = rest.is_some();
-        self.notices.says.entry(server).or_default().rest =
+        self.notices.says.entry(server).or_default().cooldown =
             rest.map_or(NoticeField::Absent, NoticeField::Present);
     }
 
