--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -109,7 +109,7 @@
     /// Until when this VM sends it nothing.
     closed: Instant,
     /// Until when it wants nothing of this VM.
-    rests: Instant,
+    cooldown_until: Instant,
     /// When it was first heard to say that it is leaving.
     leaving: Option<Instant>,
     /// The start of which that was heard.
@@ -144,7 +144,7 @@
     pub(crate) fn opens(&self, server: &Server) -> Instant {
         self.rows
             .get(server)
-            .map_or_else(Instant::default, |row| row.closed.max(row.rests))
+            .map_or_else(Instant::default, |row| row.closed.max(row.cooldown_until))
     }
 
     fn close(&mut self, server: &Server, until: Instant) {
@@ -200,7 +200,7 @@
         let of = |server: &Server| self.service_of(server).as_ref() == Some(service);
         let rows = self.notices.rows.iter().filter(|(server, _)| of(server));
         let messages = rows.flat_map(|(server, row)| {
-            let cooldown = row.rests.since(self.now);
+            let cooldown = row.cooldown_until.since(self.now);
             let cooldown =
                 (cooldown > Span::ZERO).then(|| Message::ServerCooldown(server.clone(), cooldown));
             row.for_all(server).chain(cooldown)
--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -15,7 +15,7 @@
     pub(super) fn report_rest(&mut self, server: &Server, span: Span, out: &mut Effects) {
         let until = self.now + span;
         let row = self.notices.rows.entry(server.clone()).or_default();
-        row.rests = row.rests.max(until);
+        row.cooldown_until = row.cooldown_until.max(until);
         Self::log(
             out,
             Code::ServerNotice,
@@ -48,7 +48,7 @@
     /// Declines the place that the scheduler found for a request, and tells it why once more: it may not have heard. The request goes
     /// elsewhere, as the scheduler may think otherwise of the server for a while.
     pub(crate) fn decline_place(&mut self, request: RequestId, server: &Server, out: &mut Effects) {
-        let cooldown = self.notices.rests(server).since(self.now);
+        let cooldown = self.notices.cooldown_until(server).since(self.now);
         if cooldown > Span::ZERO {
             self.send_rest(server, cooldown, out);
         }
@@ -68,9 +68,9 @@
 
 impl super::ServerNotices {
     /// Until when a server wants nothing of this VM.
-    pub(crate) fn rests(&self, server: &Server) -> Instant {
+    pub(crate) fn cooldown_until(&self, server: &Server) -> Instant {
         self.rows
             .get(server)
-            .map_or_else(Instant::default, |row| row.rests)
+            .map_or_else(Instant::default, |row| row.cooldown_until)
     }
 }
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -84,7 +84,7 @@
         if let Some(at) = self.leaving(server) {
             scheduler.leaving(server, at);
         }
-        let cooldown = self.rests(server).since(now);
+        let cooldown = self.cooldown_until(server).since(now);
         if cooldown > Span::ZERO {
             scheduler.start_cooldown(now, me, server, cooldown);
         }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -367,9 +367,9 @@
         let left = self
             .notices
             .has_left(server, self.now, self.last_resort_period());
-        let rests = self.notices.rests(server) > self.now;
+        let cooldown_until = self.notices.cooldown_until(server) > self.now;
         let row = self.servers.get(server);
-        row.is_some_and(|row| row.backend.ready && !left && !rests)
+        row.is_some_and(|row| row.backend.ready && !left && !cooldown_until)
     }
 
     /// Forgets a request that has its final answer.
