--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -353,7 +353,9 @@
             Message::Leaving(server, start) => {
                 self.mark_leaving(from, &server, start, out);
             }
-            Message::ServerCooldown(server, span) => self.hold_places(from, &server, span),
+            Message::ServerCooldown(server, span) => {
+                self.handle_server_cooldown(from, &server, span)
+            }
             Message::Permit(request, server) => {
                 self.handle_permit_request(from, request, server, out)
             }
--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -31,14 +31,14 @@
         };
         let me = self.settings.vm.clone();
         match self.scheduler_of(&service) {
-            Some(vm) if vm == me => self.hold_places(&me, server, span),
+            Some(vm) if vm == me => self.handle_server_cooldown(&me, server, span),
             Some(vm) => self.send(&vm, Message::ServerCooldown(server.clone(), span), out),
             None => {}
         }
     }
 
     /// A server has asked a VM for rest.
-    pub(crate) fn hold_places(&mut self, vm: &Vm, server: &Server, span: Span) {
+    pub(crate) fn handle_server_cooldown(&mut self, vm: &Vm, server: &Server, span: Span) {
         let service = self.service_of(server);
         if let Some(scheduler) = service.and_then(|service| self.schedulers.get_mut(&service)) {
             scheduler.start_cooldown(self.now, vm, server, span);
