--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -142,7 +142,7 @@
 
 impl Gateway {
     /// A caller's request has been read.
-    pub(crate) fn arrived(&mut self, request: RequestId, call: Call, out: &mut Effects) {
+    pub(crate) fn handle_request(&mut self, request: RequestId, call: Call, out: &mut Effects) {
         match self.config {
             Some(_) => self.admit(request, call, self.now, out),
             None => self.queue_at_startup(request, call, out),
