--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -283,7 +283,7 @@
     }
 
     /// The first piece of an answer has come.
-    pub(crate) fn begun(&mut self, request: RequestId, out: &mut Effects) {
+    pub(crate) fn handle_answer_started(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
