--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -297,7 +297,12 @@
     }
 
     /// A whole answer has gone to the caller.
-    pub(crate) fn completed(&mut self, request: RequestId, pause: Span, out: &mut Effects) {
+    pub(crate) fn handle_answer_completed(
+        &mut self,
+        request: RequestId,
+        pause: Span,
+        out: &mut Effects,
+    ) {
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
