--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -270,7 +270,9 @@
             Event::Gone(request) => self.handle_caller_left(request, out),
             Event::Begun(request) => self.handle_answer_started(request, out),
             Event::Completed(request, pause) => self.handle_answer_completed(request, pause, out),
-            Event::Failed(request, ran, cause) => self.failed(request, ran, cause, out),
+            Event::Failed(request, ran, cause) => {
+                self.handle_attempt_failed(request, ran, cause, out)
+            }
             Event::Ordered(order, outcome) => self.ordered(order, outcome, out),
             Event::Noticed(server, notice) => self.receive_notice(&server, notice, out),
             Event::Reported(server, report) => self.reported(&server, report.as_ref()),
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -69,7 +69,13 @@
 
 impl Gateway {
     /// A server did not answer a request well.
-    pub(crate) fn failed(&mut self, request: RequestId, ran: Ran, cause: Cause, out: &mut Effects) {
+    pub(crate) fn handle_attempt_failed(
+        &mut self,
+        request: RequestId,
+        ran: Ran,
+        cause: Cause,
+        out: &mut Effects,
+    ) {
         let now = self.now;
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
