--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -324,7 +324,7 @@
             Message::Place(service, fence, request, server, version) => {
                 if self.follows(&service, fence, from, out) {
                     self.keep_place(request, &server, version);
-                    self.placed(request, &server, version, out);
+                    self.handle_placement(request, &server, version, out);
                 }
             }
             Message::Refuse(service, fence, request, after) => {
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -348,7 +348,7 @@
     }
 
     /// The scheduler found a place for a request.
-    pub(crate) fn placed(
+    pub(crate) fn handle_placement(
         &mut self,
         request: RequestId,
         server: &Server,
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -43,7 +43,7 @@
         let me = self.settings.vm.clone();
         match decision {
             Decision::Place(vm, request, server, version) if vm == me => {
-                self.placed(request, &server, version, out);
+                self.handle_placement(request, &server, version, out);
             }
             Decision::Place(vm, request, server, version) => {
                 self.send(
