--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -276,7 +276,7 @@
             Event::Ordered(order, outcome) => self.ordered(order, outcome, out),
             Event::Noticed(server, notice) => self.receive_notice(&server, notice, out),
             Event::Reported(server, report) => self.reported(&server, report.as_ref()),
-            Event::Probed(server, presence) => self.probed(&server, presence, out),
+            Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
             Event::Store(op, outcome) => self.answered(op, outcome, out),
             Event::Peer(from, message) => self.heard(&from, message, out),
             Event::PeerDown(address, fault) => self.peer_down(address, fault, out),
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -320,7 +320,7 @@
     }
 
     /// A server was asked whether it takes connections.
-    pub(crate) fn probed(&mut self, server: &Server, presence: Presence, out: &mut Effects) {
+    pub(crate) fn handle_probe(&mut self, server: &Server, presence: Presence, out: &mut Effects) {
         self.quarantine.suspects.probed(server);
         if presence == Presence::Refuses {
             self.server_ended(server, out);
