--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -274,7 +274,7 @@
                 self.handle_attempt_failed(request, ran, cause, out)
             }
             Event::Ordered(order, outcome) => self.ordered(order, outcome, out),
-            Event::Noticed(server, notice) => self.receive_notice(&server, notice, out),
+            Event::Noticed(server, notice) => self.handle_notice(&server, notice, out),
             Event::Reported(server, report) => self.reported(&server, report.as_ref()),
             Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
             Event::Store(op, outcome) => self.answered(op, outcome, out),
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -156,7 +156,7 @@
 
 impl Gateway {
     /// An answer to this VM says something of its server, or says no more what an earlier one did.
-    pub(crate) fn receive_notice(&mut self, server: &Server, notice: Notice, out: &mut Effects) {
+    pub(crate) fn handle_notice(&mut self, server: &Server, notice: Notice, out: &mut Effects) {
         if !self.servers.contains_key(server) {
             return;
         }
