--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -249,7 +249,7 @@
     }
 
     /// Looks at draws that have no answer, and at what waits in the pool.
-    pub(crate) fn quota_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_quota_timer(&mut self, out: &mut Effects) {
         let now = self.now;
         let mut answers = Vec::new();
         self.quota.pools.expire(now, &mut answers);
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -407,7 +407,7 @@
                 Timer::Follow => self.follow_due(out),
                 Timer::StartupQueue => self.startup_queue_due(out),
                 Timer::Quarantine => self.records_due(out),
-                Timer::Quota => self.quota_due(out),
+                Timer::Quota => self.handle_quota_timer(out),
                 // The schedulers run after each step, where one is due.
                 Timer::Scheduler(_) => {}
             }
