--- a/crates/gateway/src/config/startup_queue.rs
+++ b/crates/gateway/src/config/startup_queue.rs
@@ -69,7 +69,7 @@
     }
 
     /// The time is over for which requests are held.
-    pub(crate) fn startup_queue_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_startup_queue_timer(&mut self, out: &mut Effects) {
         if self.now < self.startup_queue.until {
             return;
         }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -405,7 +405,7 @@
                 Timer::Registration => self.registration_due(out),
                 Timer::Leadership => self.leadership_due(out),
                 Timer::Follow => self.follow_due(out),
-                Timer::StartupQueue => self.startup_queue_due(out),
+                Timer::StartupQueue => self.handle_startup_queue_timer(out),
                 Timer::Quarantine => self.records_due(out),
                 Timer::Quota => self.handle_quota_timer(out),
                 // The schedulers run after each step, where one is due.
