--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -406,7 +406,7 @@
                 Timer::Leadership => self.leadership_due(out),
                 Timer::Follow => self.follow_due(out),
                 Timer::StartupQueue => self.handle_startup_queue_timer(out),
-                Timer::Quarantine => self.records_due(out),
+                Timer::Quarantine => self.handle_quarantine_timer(out),
                 Timer::Quota => self.handle_quota_timer(out),
                 // The schedulers run after each step, where one is due.
                 Timer::Scheduler(_) => {}
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -120,7 +120,7 @@
     fn set_goal(&mut self, fingerprint: Fingerprint, goal: Goal, at: Instant, out: &mut Effects) {
         let goals = &mut self.quarantine.records.goals;
         goals.insert(fingerprint, (goal, at));
-        self.records_due(out);
+        self.handle_quarantine_timer(out);
     }
 
     /// The revision of a request's record, where it is there.
@@ -145,7 +145,7 @@
     }
 
     /// Makes the next call on records that is due.
-    pub(crate) fn records_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_quarantine_timer(&mut self, out: &mut Effects) {
         self.drop_goals();
         if let Some((fingerprint, goal)) = self.quarantine.records.due(self.now) {
             self.pursue(fingerprint, goal, out);
@@ -206,6 +206,6 @@
                 records.failures += 1;
             }
         }
-        self.records_due(out);
+        self.handle_quarantine_timer(out);
     }
 }
