--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -138,7 +138,7 @@
                 bases: vec!["base".into()],
                 start: None,
             };
-            fleet.scheduler.server(&server, &Arc::new(backend));
+            fleet.scheduler.update_server(&server, &Arc::new(backend));
         }
         fleet
     }
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -207,7 +207,7 @@
         let mut scheduler = Scheduler::new(self.now, &application, fence, self.settings.clone());
         for (server, row) in &self.servers {
             if row.backend.service == *service {
-                scheduler.server(server, &row.backend);
+                scheduler.update_server(server, &row.backend);
                 self.notices
                     .inform_scheduler(self.now, &self.settings.vm, &mut scheduler, server);
             }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -209,7 +209,7 @@
     }
 
     /// An engine is listed, or describes itself anew.
-    pub fn server(&mut self, server: &Server, backend: &Arc<Backend>) {
+    pub fn update_server(&mut self, server: &Server, backend: &Arc<Backend>) {
         self.dirty = true;
         match self
             .engines
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -17,7 +17,7 @@
             return;
         };
         let known = scheduler.engines.contains_key(server);
-        scheduler.server(server, backend);
+        scheduler.update_server(server, backend);
         if !known {
             self.notices
                 .inform_scheduler(self.now, &self.settings.vm, scheduler, server);
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -87,7 +87,9 @@
         };
         for number in 0..engines {
             let server: Server = name(&format!("e{number}"));
-            scheduler.scheduler.server(&server, &setup::backend(number));
+            scheduler
+                .scheduler
+                .update_server(&server, &setup::backend(number));
         }
         scheduler.run(Span::from_secs(1));
         scheduler
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -45,7 +45,7 @@
         let mut scheduler = Scheduler::new(now, &config.services[0], 1, settings);
         scheduler.audience(VMS);
         for number in 0..servers {
-            scheduler.server(&server(number), &setup::backend(number));
+            scheduler.update_server(&server(number), &setup::backend(number));
         }
         Self {
             scheduler,
@@ -164,9 +164,9 @@
         bases: vec!["other".into()],
         ..(*setup::backend(0)).clone()
     };
-    large.scheduler.server(&lost, &Arc::new(other));
+    large.scheduler.update_server(&lost, &Arc::new(other));
     large.scheduler.reported(large.now, &lost, Some(&loading));
-    large.scheduler.server(&lost, &setup::backend(0));
+    large.scheduler.update_server(&lost, &setup::backend(0));
     let began = large.now;
     for _ in 0..1_000 {
         large.now = large.scheduler.wake().max(large.now);
