--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -194,7 +194,7 @@
                 failed: Vec::new(),
             };
             let wall = Wall::now();
-            self.scheduler.want(self.now, &vm, want);
+            self.scheduler.enqueue(self.now, &vm, want);
             cost.events += wall.elapsed().as_nanos() as u64;
             cost.requests += 1;
         }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -309,7 +309,7 @@
     }
 
     /// A VM wants a place for a request.
-    pub fn want(&mut self, now: Instant, vm: &Vm, want: Want) {
+    pub fn enqueue(&mut self, now: Instant, vm: &Vm, want: Want) {
         self.dirty = true;
         let id = JobId {
             vm: vm.clone(),
@@ -353,7 +353,7 @@
             self.jobs.insert(id, job);
         }
         for want in wants {
-            self.want(now, vm, want);
+            self.enqueue(now, vm, want);
         }
     }
 
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -58,7 +58,7 @@
         let service = state.service.clone();
         let me = self.settings.vm.clone();
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.want(now, &me, want);
+            scheduler.enqueue(now, &me, want);
             return;
         }
         self.timers.set(now + ASK_AGAIN, Timer::Request(request));
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -49,7 +49,7 @@
     /// the one that does, and ask there.
     pub(crate) fn wanted(&mut self, service: &Service, from: &Vm, want: Want) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
-            scheduler.want(self.now, from, want);
+            scheduler.enqueue(self.now, from, want);
         }
     }
 
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -205,7 +205,7 @@
             zone: zone(number),
             failed: Vec::new(),
         };
-        self.scheduler.want(self.now, &vm, want);
+        self.scheduler.enqueue(self.now, &vm, want);
     }
 }
 
