--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -211,11 +211,11 @@
             match next {
                 Some(Next::Begun(vm, request)) => {
                     self.scheduler
-                        .progress(self.now, &vm, request, Progress::Begun);
+                        .update_progress(self.now, &vm, request, Progress::Begun);
                 }
                 Some(Next::Over(vm, request)) => {
                     self.scheduler
-                        .progress(self.now, &vm, request, Progress::Over);
+                        .update_progress(self.now, &vm, request, Progress::Over);
                 }
                 Some(Next::Ordered(order)) => {
                     self.scheduler.ordered(self.now, order, Ordered::Accepted);
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -326,7 +326,13 @@
     }
 
     /// A VM says how a request goes.
-    pub fn progress(&mut self, now: Instant, vm: &Vm, request: RequestId, progress: Progress) {
+    pub fn update_progress(
+        &mut self,
+        now: Instant,
+        vm: &Vm,
+        request: RequestId,
+        progress: Progress,
+    ) {
         self.dirty = true;
         let id = JobId {
             vm: vm.clone(),
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -128,7 +128,7 @@
         let service = state.service.clone();
         let me = self.settings.vm.clone();
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.progress(self.now, &me, request, progress);
+            scheduler.update_progress(self.now, &me, request, progress);
             return;
         }
         let holder = self
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -62,7 +62,7 @@
         progress: Progress,
     ) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
-            scheduler.progress(self.now, from, request, progress);
+            scheduler.update_progress(self.now, from, request, progress);
         }
     }
 
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -170,21 +170,23 @@
         if store.ends[&(server, adapter)] > self.now {
             store.rejected += 1;
             let failed = Progress::Failed(Ran::No, Cause::Missing);
-            self.scheduler.progress(self.now, vm, request, failed);
+            self.scheduler
+                .update_progress(self.now, vm, request, failed);
             let number = usize::try_from(request).expect("small");
             self.want(number, usize::MAX, 1);
         } else {
             self.scheduler
-                .progress(self.now, vm, request, Progress::Begun);
+                .update_progress(self.now, vm, request, Progress::Begun);
             self.scheduler
-                .progress(self.now, vm, request, Progress::Over);
+                .update_progress(self.now, vm, request, Progress::Over);
         }
     }
 
     /// The VM of a placed request says how it goes.
     fn tell(&mut self, at: usize, progress: Progress) {
         let (vm, request) = self.placed[at].clone();
-        self.scheduler.progress(self.now, &vm, request, progress);
+        self.scheduler
+            .update_progress(self.now, &vm, request, progress);
         self.step();
     }
 
@@ -392,7 +394,9 @@
     fixture.want(6, 6, 1);
     fixture.run(Span::from_millis(50));
     let failed = Progress::Failed(Ran::No, Cause::Missing);
-    fixture.scheduler.progress(fixture.now, &vm, 1, failed);
+    fixture
+        .scheduler
+        .update_progress(fixture.now, &vm, 1, failed);
     fixture.run(Span::from_secs(1));
     assert_eq!(fixture.placed.len(), 6);
 }
