--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -220,7 +220,7 @@
             }
         }
         let (running, wants) = self.state_for(service);
-        scheduler.hello(self.now, &self.settings.vm, &running, wants);
+        scheduler.resync_vm(self.now, &self.settings.vm, &running, wants);
         self.schedulers.insert(service.clone(), scheduler);
         self.timers.set(self.now, Timer::Scheduler(service.clone()));
         self.timers.set(self.now, Timer::Leadership);
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -346,7 +346,7 @@
     }
 
     /// A VM says all that runs and waits there, in place of all it said before.
-    pub fn hello(&mut self, now: Instant, vm: &Vm, running: &[Running], wants: Vec<Want>) {
+    pub fn resync_vm(&mut self, now: Instant, vm: &Vm, running: &[Running], wants: Vec<Want>) {
         self.vm_gone(vm);
         for run in running {
             let id = JobId {
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -75,7 +75,7 @@
         wants: Vec<Want>,
     ) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
-            scheduler.hello(self.now, from, running, wants);
+            scheduler.resync_vm(self.now, from, running, wants);
         }
     }
 
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -364,7 +364,7 @@
     };
     fixture
         .scheduler
-        .hello(fixture.now, &name("vm1"), &[running], Vec::new());
+        .resync_vm(fixture.now, &name("vm1"), &[running], Vec::new());
     fixture.want(0, 1, 1);
     fixture.run(Span::from_secs(1));
     assert_eq!(fixture.placed.len(), 1);
@@ -389,7 +389,7 @@
     let vm: Vm = name("vm1");
     fixture
         .scheduler
-        .hello(fixture.now, &vm, &[running], Vec::new());
+        .resync_vm(fixture.now, &vm, &[running], Vec::new());
     fixture.late = Span::from_millis(100);
     fixture.want(6, 6, 1);
     fixture.run(Span::from_millis(50));
