--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -115,7 +115,7 @@
         match (change.subject, change.fact) {
             (Subject::Config, Some(Fact::Config(config))) => self.apply_config(config, out),
             (Subject::Version(model, adapter), Some(Fact::Version(version))) => {
-                self.newer_version(&model, &adapter, version);
+                self.update_adapter_version(&model, &adapter, version);
                 Self::log(
                     out,
                     Code::VersionNamed,
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -216,7 +216,7 @@
             if let (Subject::Version(model, adapter), Some(Fact::Version(version))) =
                 (&change.subject, &change.fact)
             {
-                scheduler.newer(model, adapter, *version, None);
+                scheduler.update_adapter_version(model, adapter, *version, None);
             }
         }
         let (running, wants) = self.state_for(service);
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -295,7 +295,7 @@
 
     /// A newer version of an adapter is named.
     /// Where it may have been named long ago, `at` is none.
-    pub fn newer(
+    pub fn update_adapter_version(
         &mut self,
         model: &Arc<str>,
         adapter: &Arc<str>,
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -32,9 +32,14 @@
     }
 
     /// A newer version of an adapter is named.
-    pub(crate) fn newer_version(&mut self, model: &Arc<str>, adapter: &Arc<str>, version: Version) {
+    pub(crate) fn update_adapter_version(
+        &mut self,
+        model: &Arc<str>,
+        adapter: &Arc<str>,
+        version: Version,
+    ) {
         for scheduler in self.schedulers.values_mut() {
-            scheduler.newer(model, adapter, version, Some(self.now));
+            scheduler.update_adapter_version(model, adapter, version, Some(self.now));
         }
     }
 
