--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -218,7 +218,8 @@
                         .update_progress(self.now, &vm, request, Progress::Over);
                 }
                 Some(Next::Ordered(order)) => {
-                    self.scheduler.ordered(self.now, order, Ordered::Accepted);
+                    self.scheduler
+                        .handle_order_outcome(self.now, order, Ordered::Accepted);
                 }
                 Some(Next::Reported(server)) => {
                     let report = Report {
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -372,7 +372,7 @@
     }
 
     /// An order came back. Says whether a server has seen a higher fencing number.
-    pub fn ordered(&mut self, now: Instant, order: OrderId, outcome: Ordered) -> bool {
+    pub fn handle_order_outcome(&mut self, now: Instant, order: OrderId, outcome: Ordered) -> bool {
         self.dirty = true;
         self.order_answered(now, order, outcome)
     }
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -85,7 +85,12 @@
     }
 
     /// An order came back.
-    pub(crate) fn ordered(&mut self, order: OrderId, outcome: Ordered, out: &mut Effects) {
+    pub(crate) fn handle_order_outcome(
+        &mut self,
+        order: OrderId,
+        outcome: Ordered,
+        out: &mut Effects,
+    ) {
         let now = self.now;
         let owner = self
             .schedulers
@@ -95,7 +100,7 @@
             return;
         };
         let service = service.clone();
-        if scheduler.ordered(now, order, outcome) {
+        if scheduler.handle_order_outcome(now, order, outcome) {
             self.fenced_off(&service, out);
         }
     }
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -112,7 +112,7 @@
         let (due, rest) = self.answers.drain(..).partition(|(at, ..)| *at <= now);
         self.answers = rest;
         for (_, order, outcome) in due {
-            self.scheduler.ordered(now, order, outcome);
+            self.scheduler.handle_order_outcome(now, order, outcome);
         }
         let mut out = Vec::new();
         self.scheduler.run(self.now, &mut out);
@@ -155,7 +155,7 @@
                 self.answers.push((self.now + self.late, id, outcome));
             }
             false => {
-                self.scheduler.ordered(self.now, id, outcome);
+                self.scheduler.handle_order_outcome(self.now, id, outcome);
             }
         }
     }
