--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -233,7 +233,8 @@
                         orders: 0,
                         start: None,
                     };
-                    self.scheduler.reported(self.now, &server, Some(&report));
+                    self.scheduler
+                        .handle_report(self.now, &server, Some(&report));
                 }
                 None => {}
             }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -275,7 +275,7 @@
             }
             Event::Ordered(order, outcome) => self.handle_order_outcome(order, outcome, out),
             Event::Noticed(server, notice) => self.handle_notice(&server, notice, out),
-            Event::Reported(server, report) => self.reported(&server, report.as_ref()),
+            Event::Reported(server, report) => self.handle_report(&server, report.as_ref()),
             Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
             Event::Store(op, outcome) => self.answered(op, outcome, out),
             Event::Peer(from, message) => self.heard(&from, message, out),
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -389,7 +389,7 @@
     }
 
     /// An engine's report came, or it gave none.
-    pub fn reported(&mut self, now: Instant, server: &Server, report: Option<&Report>) {
+    pub fn handle_report(&mut self, now: Instant, server: &Server, report: Option<&Report>) {
         self.dirty = true;
         self.take_report(now, server, report);
     }
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -106,12 +106,12 @@
     }
 
     /// A server's report came, or it gave none.
-    pub(crate) fn reported(&mut self, server: &Server, report: Option<&Report>) {
+    pub(crate) fn handle_report(&mut self, server: &Server, report: Option<&Report>) {
         let Some(service) = self.service_of(server) else {
             return;
         };
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.reported(self.now, server, report);
+            scheduler.handle_report(self.now, server, report);
         }
     }
 }
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -123,8 +123,11 @@
                 Decision::Refuse(..) => self.refused += 1,
                 Decision::Report(server, _) => {
                     self.reports += 1;
-                    self.scheduler
-                        .reported(self.now, &server, Some(&setup::report(Vec::new())));
+                    self.scheduler.handle_report(
+                        self.now,
+                        &server,
+                        Some(&setup::report(Vec::new())),
+                    );
                 }
                 Decision::Order(id, server, _, order) => self.carry_out(id, server, order),
                 Decision::Residents(_) => self.digests += 1,
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -84,7 +84,8 @@
         for server in ended {
             self.asked.remove(&server);
             let report = (!silent.contains(&server)).then(|| report(&server));
-            self.scheduler.reported(self.now, &server, report.as_ref());
+            self.scheduler
+                .handle_report(self.now, &server, report.as_ref());
             if report.is_some() {
                 self.answered.insert(server);
             }
@@ -165,7 +166,9 @@
         ..(*setup::backend(0)).clone()
     };
     large.scheduler.update_server(&lost, &Arc::new(other));
-    large.scheduler.reported(large.now, &lost, Some(&loading));
+    large
+        .scheduler
+        .handle_report(large.now, &lost, Some(&loading));
     large.scheduler.update_server(&lost, &setup::backend(0));
     let began = large.now;
     for _ in 0..1_000 {
