--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -79,7 +79,7 @@
         server: &Server,
     ) {
         if let Some(limit) = self.limit(server) {
-            scheduler.limit(now, server, Some(limit));
+            scheduler.set_rate_limit(now, server, Some(limit));
         }
         if let Some(at) = self.leaving(server) {
             scheduler.leaving(server, at);
--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -40,7 +40,7 @@
             (None, _) => (row.rate_limiter, row.closed) = (None, Instant::default()),
         }
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.limit(now, server, limit);
+            scheduler.set_rate_limit(now, server, limit);
         }
         if limit != was {
             let named =
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -247,7 +247,7 @@
     }
 
     /// An engine names a limit to the requests a second that it takes from all VMs together, or none any more.
-    pub(crate) fn limit(&mut self, now: Instant, server: &Server, limit: Option<Rate>) {
+    pub(crate) fn set_rate_limit(&mut self, now: Instant, server: &Server, limit: Option<Rate>) {
         self.dirty = true;
         let Some(engine) = self.engines.get_mut(server) else {
             return;
