--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -44,7 +44,7 @@
         let notices = self.notices.rows.entry(server.clone()).or_default();
         (notices.leaving, notices.start) = (Some(now), start);
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.leaving(server, now);
+            scheduler.set_leaving(server, now);
         }
         Self::log(
             out,
@@ -82,7 +82,7 @@
             scheduler.set_rate_limit(now, server, Some(limit));
         }
         if let Some(at) = self.leaving(server) {
-            scheduler.leaving(server, at);
+            scheduler.set_leaving(server, at);
         }
         let cooldown = self.cooldown_until(server).since(now);
         if cooldown > Span::ZERO {
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -260,7 +260,7 @@
     }
 
     /// An engine says that it is leaving, as was first heard at a time.
-    pub(crate) fn leaving(&mut self, server: &Server, at: Instant) {
+    pub(crate) fn set_leaving(&mut self, server: &Server, at: Instant) {
         self.dirty = true;
         match self.engines.get_mut(server) {
             Some(engine) if engine.leaving == Leaving::No => engine.leaving = Leaving::Since(at),
