--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -156,7 +156,7 @@
             self.now += Span::from_millis(1);
             self.arrive(&mut cost);
             self.happen(&mut cost);
-            let due = self.scheduler.wake() <= self.now;
+            let due = self.scheduler.next_run() <= self.now;
             let mut out = Vec::new();
             let wall = Wall::now();
             self.scheduler.run(self.now, &mut out);
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -182,7 +182,7 @@
 
     /// When it is to be run next: soon after a change, else when time alone moves something.
     #[must_use]
-    pub fn wake(&self) -> Instant {
+    pub fn next_run(&self) -> Instant {
         let due = if self.dirty {
             self.due.min(self.pace.soon())
         } else {
@@ -396,7 +396,7 @@
 
     /// Decides what can be decided now.
     pub fn run(&mut self, now: Instant, out: &mut Vec<Decision>) {
-        if now < self.wake() {
+        if now < self.next_run() {
             return;
         }
         self.dirty = false;
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -16,7 +16,7 @@
         let services: Vec<Service> = self.schedulers.keys().cloned().collect();
         for service in services {
             // Most steps find nothing due, and the VMs are counted only where something is.
-            let Some(wake) = self.schedulers.get(&service).map(Scheduler::wake) else {
+            let Some(wake) = self.schedulers.get(&service).map(Scheduler::next_run) else {
                 continue;
             };
             if self.now < wake {
@@ -31,7 +31,7 @@
             scheduler.audience(vms);
             let mut decisions = Vec::new();
             scheduler.run(self.now, &mut decisions);
-            let (fence, wake) = (scheduler.fence(), scheduler.wake());
+            let (fence, wake) = (scheduler.fence(), scheduler.next_run());
             for decision in decisions {
                 self.carry_out(&service, fence, decision, out);
             }
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -100,7 +100,10 @@
         let end = self.now + span;
         while self.now < end {
             let answer = self.answers.iter().map(|(at, ..)| *at).min();
-            let wake = self.scheduler.wake().min(answer.unwrap_or(Instant::NEVER));
+            let wake = self
+                .scheduler
+                .next_run()
+                .min(answer.unwrap_or(Instant::NEVER));
             self.now = wake.max(self.now + Span(100)).min(end);
             self.step();
         }
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -172,7 +172,7 @@
     large.scheduler.update_server(&lost, &setup::backend(0));
     let began = large.now;
     for _ in 0..1_000 {
-        large.now = large.scheduler.wake().max(large.now);
+        large.now = large.scheduler.next_run().max(large.now);
         large.scheduler.run(large.now, &mut Vec::new());
     }
     let took = large.now.since(began);
