--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -144,7 +144,7 @@
     /// VM can bear.
     pub fn took(&mut self, span: Span) {
         for scheduler in self.schedulers.values_mut() {
-            scheduler.took(span);
+            scheduler.record_run_duration(span);
         }
     }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -192,7 +192,7 @@
     }
 
     /// The last run took so long, with what was done for it.
-    pub fn took(&mut self, span: Span) {
+    pub fn record_run_duration(&mut self, span: Span) {
         self.pace.took(span);
     }
 
