--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -95,7 +95,7 @@
     /// What its engines hold.
     pub(crate) shape: Shape,
     /// When it began.
-    began: Instant,
+    started_at: Instant,
     /// The fencing number of its orders.
     fence: u64,
     /// What this VM was told.
@@ -154,7 +154,7 @@
             beside: Beside::default(),
             remembering: Remembering::default(),
             shape,
-            began: now,
+            started_at: now,
             fence,
             engines: BTreeMap::new(),
             jobs: Jobs::default(),
@@ -198,8 +198,8 @@
 
     /// When it began.
     #[must_use]
-    pub fn began(&self) -> Instant {
-        self.began
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
     /// Whether its VM is too weak for it.
