--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -201,7 +201,7 @@
     pub(crate) fn leave_to_stronger(&mut self, out: &mut Effects) {
         let strained = self.schedulers.iter();
         let strained = strained.filter(|(_, scheduler)| {
-            scheduler.is_strained() && self.now.since(scheduler.started_at()) >= TRIED
+            scheduler.is_overloaded() && self.now.since(scheduler.started_at()) >= TRIED
         });
         let strained: Vec<Service> = strained.map(|(service, _)| service.clone()).collect();
         if strained.is_empty() || !self.is_much_stronger_heard() {
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -204,8 +204,8 @@
 
     /// Whether its VM is too weak for it.
     #[must_use]
-    pub fn is_strained(&self) -> bool {
-        self.pace.is_strained()
+    pub fn is_overloaded(&self) -> bool {
+        self.pace.is_overloaded()
     }
 
     /// An engine is listed, or describes itself anew.
--- a/crates/gateway/src/scheduler/run_interval.rs
+++ b/crates/gateway/src/scheduler/run_interval.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether runs take so long that they come no more often than the longest time between two of them allows.
-    pub(crate) fn is_strained(&self) -> bool {
+    pub(crate) fn is_overloaded(&self) -> bool {
         self.length.times(LENGTHS) >= LONGEST
     }
 
