--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -111,7 +111,7 @@
     fn new(engines: usize, rate: f64) -> Self {
         let now = Instant::default() + Span::from_secs(100);
         let mut scheduler = Scheduler::new(now, &application(), 1, settings());
-        scheduler.audience(VMS);
+        scheduler.set_vm_count(VMS);
         let mut fleet = Self {
             now,
             rng: ChaCha8Rng::seed_from_u64(1),
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -378,7 +378,7 @@
     }
 
     /// How many VMs are told what is resident.
-    pub fn audience(&mut self, vms: usize) {
+    pub fn set_vm_count(&mut self, vms: usize) {
         self.vms = vms;
     }
 
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -28,7 +28,7 @@
                 continue;
             };
             self.ran = true;
-            scheduler.audience(vms);
+            scheduler.set_vm_count(vms);
             let mut decisions = Vec::new();
             scheduler.run(self.now, &mut decisions);
             let (fence, wake) = (scheduler.fence(), scheduler.next_run());
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -298,7 +298,7 @@
 fn residents_toldlessoftentomany() {
     for (vms, least, most) in [(6, 9, 11), (90, 2, 4)] {
         let mut scheduler = Fixture::new(ENGINES_LARGE);
-        scheduler.scheduler.audience(vms);
+        scheduler.scheduler.set_vm_count(vms);
         scheduler.digests = 0;
         scheduler.run(Span::from_secs(10));
         let told = scheduler.digests;
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -43,7 +43,7 @@
         let config = setup::config(1);
         let settings = setup::settings(0, 1, &Tuning::default());
         let mut scheduler = Scheduler::new(now, &config.services[0], 1, settings);
-        scheduler.audience(VMS);
+        scheduler.set_vm_count(VMS);
         for number in 0..servers {
             scheduler.update_server(&server(number), &setup::backend(number));
         }
