--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -251,7 +251,7 @@
             }
             Decision::Refuse(..) => cost.refused += 1,
             Decision::Order(id, ..) => self.later(Span::from_millis(3), Next::Ordered(id)),
-            Decision::Report(server, _) => {
+            Decision::QueryReport(server, _) => {
                 self.later(Span::from_millis(3), Next::Reported(server));
             }
             _ => {}
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -80,7 +80,7 @@
     /// An order to a server.
     Order(OrderId, Server, SocketAddr, Order),
     /// A server is asked for its report.
-    Report(Server, SocketAddr),
+    QueryReport(Server, SocketAddr),
     /// What some engines hold, for all VMs.
     Residents(Vec<Holding>),
     /// The scheduler is there, for all VMs.
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -72,7 +72,7 @@
             engine.take_one(now);
             engine.asked = Some(now);
             engine.reporting = true;
-            out.push(Decision::Report(server, engine.backend.address));
+            out.push(Decision::QueryReport(server, engine.backend.address));
             self.by(now + REPORT_AGAIN);
         }
         for (at, _) in later {
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -71,7 +71,7 @@
                 );
                 out.push(Effect::Order(id, server, address, order));
             }
-            Decision::Report(server, address) => out.push(Effect::Report(server, address)),
+            Decision::QueryReport(server, address) => out.push(Effect::Report(server, address)),
             Decision::Residents(residents) => {
                 self.keep_residents(service, residents.clone());
                 self.tell_residents(service, fence, residents, out);
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -124,7 +124,7 @@
             match decision {
                 Decision::Place(vm, request, server, _) => self.place(&vm, request, server),
                 Decision::Refuse(..) => self.refused += 1,
-                Decision::Report(server, _) => {
+                Decision::QueryReport(server, _) => {
                     self.reports += 1;
                     self.scheduler.handle_report(
                         self.now,
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -94,7 +94,7 @@
 
     fn note(&mut self, decision: Decision) {
         match decision {
-            Decision::Report(server, _) => {
+            Decision::QueryReport(server, _) => {
                 self.asked.insert(server, self.now + REPORT);
             }
             Decision::Residents(rows) => {
