--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -84,7 +84,7 @@
     /// What some engines hold, for all VMs.
     Residents(Vec<Holding>),
     /// The scheduler is there, for all VMs.
-    Alive,
+    Heartbeat,
     /// A log event.
     Log(Record),
 }
@@ -474,7 +474,7 @@
     fn tell(&mut self, now: Instant, out: &mut Vec<Decision>) {
         if now >= self.alive_due {
             self.alive_due = now + ALIVE_EVERY;
-            out.push(Decision::Alive);
+            out.push(Decision::Heartbeat);
         }
         if now >= self.residents_due {
             let all = RESIDENTS_EACH.times(self.vms as u64);
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -76,7 +76,7 @@
                 self.keep_residents(service, residents.clone());
                 self.tell_residents(service, fence, residents, out);
             }
-            Decision::Alive => self.tell_all(&Message::Alive(service.clone(), fence), out),
+            Decision::Heartbeat => self.tell_all(&Message::Alive(service.clone(), fence), out),
             Decision::Log(record) => out.push(Effect::Log(record)),
         }
     }
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -134,7 +134,7 @@
                 }
                 Decision::Order(id, server, _, order) => self.carry_out(id, server, order),
                 Decision::Residents(_) => self.digests += 1,
-                Decision::Alive | Decision::Log(_) => {}
+                Decision::Heartbeat | Decision::Log(_) => {}
             }
         }
         self.deciding += usize::from((self.placed.len(), self.refused) != before);
