--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -218,7 +218,7 @@
             self.servers
                 .insert(server.clone(), ServerState::new(backend.clone()));
         }
-        self.scheduler_server(server, backend);
+        self.update_scheduler_server(server, backend);
     }
 
     fn lose_server(&mut self, server: &Server, out: &mut Effects) {
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -12,7 +12,7 @@
 
 impl Gateway {
     /// A server is listed or describes itself anew.
-    pub(crate) fn scheduler_server(&mut self, server: &Server, backend: &Arc<Backend>) {
+    pub(crate) fn update_scheduler_server(&mut self, server: &Server, backend: &Arc<Backend>) {
         let Some(scheduler) = self.schedulers.get_mut(&backend.service) else {
             return;
         };
