--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -231,7 +231,7 @@
             if row.backend.ready && !leaving {
                 self.server_ended(server, out);
             }
-            self.scheduler_server_gone(server, &row.backend.service);
+            self.remove_scheduler_server(server, &row.backend.service);
         }
     }
 }
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -25,7 +25,7 @@
     }
 
     /// A server is gone.
-    pub(crate) fn scheduler_server_gone(&mut self, server: &Server, service: &Service) {
+    pub(crate) fn remove_scheduler_server(&mut self, server: &Server, service: &Service) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
             scheduler.server_gone(server);
         }
