--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -145,7 +145,7 @@
                 self.membership.listed(&vm, &member);
             }
             (Subject::Member(vm), _) if self.membership.unlisted(&vm, self.now) => {
-                self.scheduler_vm_gone(&vm);
+                self.remove_scheduler_vm(&vm);
             }
             _ => {}
         }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -309,7 +309,7 @@
             return;
         };
         if gone {
-            self.scheduler_vm_gone(&vm);
+            self.remove_scheduler_vm(&vm);
         }
         self.quota_vm_down(&vm, out);
         // A holder whose word still comes is busy, not gone.
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -44,7 +44,7 @@
     }
 
     /// A VM is gone.
-    pub(crate) fn scheduler_vm_gone(&mut self, vm: &Vm) {
+    pub(crate) fn remove_scheduler_vm(&mut self, vm: &Vm) {
         for scheduler in self.schedulers.values_mut() {
             scheduler.vm_gone(vm);
         }
