--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -313,7 +313,7 @@
                 self.follow_asked(from, revision, out);
             }
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
-            Message::Want(service, want) => self.wanted(&service, from, want),
+            Message::Want(service, want) => self.handle_placement_request(&service, from, want),
             Message::Progress(service, request, progress) => {
                 self.progressed(&service, from, request, progress);
             }
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -52,7 +52,7 @@
 
     /// A VM wants a place for a request. Where this VM does not schedule the service, the VM that asks will hear of
     /// the one that does, and ask there.
-    pub(crate) fn wanted(&mut self, service: &Service, from: &Vm, want: Want) {
+    pub(crate) fn handle_placement_request(&mut self, service: &Service, from: &Vm, want: Want) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
             scheduler.enqueue(self.now, from, want);
         }
