--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -315,7 +315,7 @@
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
             Message::Want(service, want) => self.handle_placement_request(&service, from, want),
             Message::Progress(service, request, progress) => {
-                self.progressed(&service, from, request, progress);
+                self.handle_progress(&service, from, request, progress);
             }
             Message::Hello(service, member, running, wants) => {
                 self.membership.introduced(from, &member);
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -59,7 +59,7 @@
     }
 
     /// A VM says how a request goes.
-    pub(crate) fn progressed(
+    pub(crate) fn handle_progress(
         &mut self,
         service: &Service,
         from: &Vm,
