--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -319,7 +319,7 @@
             }
             Message::Hello(service, member, running, wants) => {
                 self.membership.introduced(from, &member);
-                self.introduced(&service, from, &running, wants);
+                self.handle_resync(&service, from, &running, wants);
             }
             Message::Place(service, fence, request, server, version) => {
                 if self.follows(&service, fence, from, out) {
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -72,7 +72,7 @@
     }
 
     /// A VM says all that runs and waits there.
-    pub(crate) fn introduced(
+    pub(crate) fn handle_resync(
         &mut self,
         service: &Service,
         from: &Vm,
