--- a/crates/gateway/src/cluster/lease_vote.rs
+++ b/crates/gateway/src/cluster/lease_vote.rs
@@ -86,7 +86,7 @@
         self.timers.set_once(self.votes.next, Timer::Leadership);
         for (service, scheduler) in &self.schedulers {
             let question = Message::RequestLeaseVote(service.clone(), scheduler.fence(), self.now);
-            self.tell_all(&question, out);
+            self.broadcast(&question, out);
         }
     }
 
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -52,7 +52,7 @@
             format!("server={server} leaving=true by={by}"),
         );
         if self.counting_vm(server) == self.settings.vm {
-            self.tell_all(&Message::Leaving(server.clone(), start), out);
+            self.broadcast(&Message::Leaving(server.clone(), start), out);
         }
         true
     }
--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -55,7 +55,7 @@
         if limit.is_some() != was.is_some() {
             out.push(Effect::Track(server.clone(), limit.is_some()));
             if self.counting_vm(server) == self.settings.vm {
-                self.tell_all(&Message::Limit(server.clone(), limit), out);
+                self.broadcast(&Message::Limit(server.clone(), limit), out);
             }
         }
     }
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -183,7 +183,7 @@
             }
         }
         if !told.is_empty() {
-            self.tell_all(&Message::QuarantineStatuses(told), out);
+            self.broadcast(&Message::QuarantineStatuses(told), out);
         }
     }
 
@@ -272,7 +272,7 @@
         self.clear(fingerprint, "answered", out);
         self.remove_record(fingerprint, out);
         let told = vec![(fingerprint, QuarantineStatus::Cleared)];
-        self.tell_all(&Message::QuarantineStatuses(told), out);
+        self.broadcast(&Message::QuarantineStatuses(told), out);
     }
 
     /// Tells a VM that knows nothing yet which requests are refused.
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -76,13 +76,13 @@
                 self.keep_residents(service, residents.clone());
                 self.tell_residents(service, fence, residents, out);
             }
-            Decision::Heartbeat => self.tell_all(&Message::Alive(service.clone(), fence), out),
+            Decision::Heartbeat => self.broadcast(&Message::Alive(service.clone(), fence), out),
             Decision::Log(record) => out.push(Effect::Log(record)),
         }
     }
 
     /// Sends a message to all other VMs.
-    pub(crate) fn tell_all(&self, message: &Message, out: &mut Effects) {
+    pub(crate) fn broadcast(&self, message: &Message, out: &mut Effects) {
         for vm in self.peers() {
             self.send(vm, message.clone(), out);
         }
