--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -128,7 +128,7 @@
             }
             (Subject::Server(server), _) => self.lose_server(&server, out),
             (Subject::Holder(service), Some(Fact::Holder(holder))) => {
-                self.holder_named(&service, &holder, change.revision, out);
+                self.handle_new_holder(&service, &holder, change.revision, out);
             }
             (Subject::Holder(service), _) => self.holder_gone(&service, out),
             (Subject::Quarantine(fingerprint), Some(_)) => {
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -141,7 +141,7 @@
     }
 
     /// The key-value service names the holder of a leadership.
-    pub(crate) fn holder_named(
+    pub(crate) fn handle_new_holder(
         &mut self,
         service: &Service,
         holder: &Holder,
