--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -130,7 +130,7 @@
             (Subject::Holder(service), Some(Fact::Holder(holder))) => {
                 self.handle_new_holder(&service, &holder, change.revision, out);
             }
-            (Subject::Holder(service), _) => self.holder_gone(&service, out),
+            (Subject::Holder(service), _) => self.handle_holder_gone(&service, out),
             (Subject::Quarantine(fingerprint), Some(_)) => {
                 self.put_in_quarantine(fingerprint, QUARANTINE_DURATION, "record", out);
             }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -179,7 +179,7 @@
     }
 
     /// The leadership is free.
-    pub(crate) fn holder_gone(&mut self, service: &Service, out: &mut Effects) {
+    pub(crate) fn handle_holder_gone(&mut self, service: &Service, out: &mut Effects) {
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         let old = client.holder.take();
         Self::log(
