--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -257,7 +257,7 @@
         let mut from = self.now.max(self.rested(service));
         if silent.is_some() && before > 0 {
             // Some see its link break, the others only that its word does not come, and the candidacies of those before this VM begin then.
-            from = from.max(self.holder_heard(service) + SILENCE);
+            from = from.max(self.holder_last_heard(service) + SILENCE);
         }
         Candidacy::Take(from + CANDIDATE_GAP.times(before))
     }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -245,7 +245,7 @@
     }
 
     /// When the holder of a service was last heard.
-    pub(crate) fn holder_heard(&self, service: &Service) -> Instant {
+    pub(crate) fn holder_last_heard(&self, service: &Service) -> Instant {
         let client = self.scheduler_clients.get(service);
         client.map_or(Instant::default(), |client| client.heard)
     }
