--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -174,7 +174,7 @@
     }
 
     pub(crate) fn leadership_due(&mut self, out: &mut Effects) {
-        self.watch_holders(out);
+        self.check_holder_timeouts(out);
         self.request_votes(out);
         self.stop_in_time(out);
         self.leave_to_stronger(out);
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -326,7 +326,7 @@
     }
 
     /// Looks whether the holders have been silent for too long.
-    pub(crate) fn watch_holders(&mut self, out: &mut Effects) {
+    pub(crate) fn check_holder_timeouts(&mut self, out: &mut Effects) {
         let now = self.now;
         let me = &self.settings.vm;
         let silent = |a: &State| {
