--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -11,7 +11,7 @@
 use crate::cluster::membership;
 use crate::effect::Effects;
 use crate::node::Gateway;
-use crate::scheduler::client::SILENCE;
+use crate::scheduler::client::HOLDER_TIMEOUT;
 use crate::timer::Timer;
 
 /// The time that a VM waits for each VM before it in the order of candidates before it takes a free leadership: some calls
@@ -257,7 +257,7 @@
         let mut from = self.now.max(self.rested(service));
         if silent.is_some() && before > 0 {
             // Some see its link break, the others only that its word does not come, and the candidacies of those before this VM begin then.
-            from = from.max(self.holder_last_heard(service) + SILENCE);
+            from = from.max(self.holder_last_heard(service) + HOLDER_TIMEOUT);
         }
         Candidacy::Take(from + CANDIDATE_GAP.times(before))
     }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -21,7 +21,7 @@
 use crate::timer::Timer;
 
 /// The time without any word of the holder after which this VM goes on by itself: three of the holder's digests.
-pub(crate) const SILENCE: Span = Span::from_millis(900);
+pub(crate) const HOLDER_TIMEOUT: Span = Span::from_millis(900);
 
 /// The time after which a request that has heard nothing is asked for again, in case that the first question was lost:
 /// an objective's length, since most are placed within it.
@@ -218,7 +218,7 @@
         client.holder = Some(from.clone());
         client.heard = now;
         client.silent = false;
-        self.timers.set(now + SILENCE, Timer::Leadership);
+        self.timers.set(now + HOLDER_TIMEOUT, Timer::Leadership);
         if changed {
             self.leaderships.end_wait(service);
             Self::log(
@@ -313,7 +313,8 @@
         }
         self.quota_vm_down(&vm, out);
         // A holder whose word still comes is busy, not gone.
-        let busy = |client: &State| fault == Fault::Late && now.since(client.heard) < SILENCE;
+        let busy =
+            |client: &State| fault == Fault::Late && now.since(client.heard) < HOLDER_TIMEOUT;
         let holds = |client: &State| client.holder.as_ref() == Some(&vm) && !busy(client);
         let led = self
             .scheduler_clients
@@ -330,7 +331,9 @@
         let now = self.now;
         let me = &self.settings.vm;
         let silent = |a: &State| {
-            !a.silent && a.holder.as_ref().is_some_and(|h| h != me) && now.since(a.heard) >= SILENCE
+            !a.silent
+                && a.holder.as_ref().is_some_and(|h| h != me)
+                && now.since(a.heard) >= HOLDER_TIMEOUT
         };
         let services: Vec<Service> = self
             .scheduler_clients
@@ -386,7 +389,8 @@
             return;
         };
         let (running, wants) = self.state_for(service);
-        self.timers.set(self.now + SILENCE, Timer::Leadership);
+        self.timers
+            .set(self.now + HOLDER_TIMEOUT, Timer::Leadership);
         self.send(
             &holder,
             Message::Hello(service.clone(), self.member(), running, wants),
