--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -14,7 +14,7 @@
 use crate::node::Gateway;
 use crate::request::budget::Terms;
 use crate::request::health::Health;
-use crate::scheduler::client::ASK_AGAIN;
+use crate::scheduler::client::PLACEMENT_RETRY_DELAY;
 
 /// Sends of one request at most, counting those that did not run: more only wear out the shared budget.
 const MAX_SENDS: u32 = 4;
@@ -163,7 +163,7 @@
         };
         if state.ends > self.now {
             let unheard = state.phase == Phase::Waiting && state.call.work.is_some();
-            if unheard && self.now.since(state.arrived) >= ASK_AGAIN {
+            if unheard && self.now.since(state.arrived) >= PLACEMENT_RETRY_DELAY {
                 self.ask_place(request, out);
             }
             self.permit_due(request, out);
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -25,7 +25,7 @@
 
 /// The time after which a request that has heard nothing is asked for again, in case that the first question was lost:
 /// an objective's length, since most are placed within it.
-pub(crate) const ASK_AGAIN: Span = Span::from_millis(1_000);
+pub(crate) const PLACEMENT_RETRY_DELAY: Span = Span::from_millis(1_000);
 
 /// What this VM knows of a service's scheduler.
 #[derive(Debug, Default)]
@@ -61,7 +61,8 @@
             scheduler.enqueue(now, &me, want);
             return;
         }
-        self.timers.set(now + ASK_AGAIN, Timer::Request(request));
+        self.timers
+            .set(now + PLACEMENT_RETRY_DELAY, Timer::Request(request));
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         match client.holder.clone() {
             Some(holder) if !client.silent => self.send(&holder, Message::Want(service, want), out),
