--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -56,7 +56,7 @@
             state.failed.push(server.clone());
         }
         self.tell_progress(request, Progress::Failed(Ran::No, Cause::Declined), out);
-        self.ask_place(request, out);
+        self.request_placement(request, out);
     }
 
     /// When callers may come back to a service all of whose servers are closed to this VM until a time. They are told times that differ.
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -204,7 +204,7 @@
             .service(service.as_str())
             .is_some_and(|s| s.engine.is_some());
         if engine && state.call.work.is_some() {
-            self.ask_place(request, out);
+            self.request_placement(request, out);
             return;
         }
         let failed = state.failed.clone();
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -164,7 +164,7 @@
         if state.ends > self.now {
             let unheard = state.phase == Phase::Waiting && state.call.work.is_some();
             if unheard && self.now.since(state.arrived) >= PLACEMENT_RETRY_DELAY {
-                self.ask_place(request, out);
+                self.request_placement(request, out);
             }
             self.permit_due(request, out);
             return;
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -47,7 +47,7 @@
 
 impl Gateway {
     /// Asks the scheduler for a place.
-    pub(crate) fn ask_place(&mut self, request: RequestId, out: &mut Effects) {
+    pub(crate) fn request_placement(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
         let Some(state) = self.in_flight.get(&request) else {
             return;
