--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -55,7 +55,7 @@
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.failed.push(server.clone());
         }
-        self.tell_progress(request, Progress::Failed(Ran::No, Cause::Declined), out);
+        self.report_progress(request, Progress::Failed(Ran::No, Cause::Declined), out);
         self.request_placement(request, out);
     }
 
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -293,7 +293,7 @@
         let took = self.now.since(state.arrived);
         state.first.get_or_insert(took);
         measure::time(out, Figure::FirstToken, &state.service, took);
-        self.tell_progress(request, Progress::Begun, out);
+        self.report_progress(request, Progress::Begun, out);
     }
 
     /// A whole answer has gone to the caller.
@@ -379,7 +379,7 @@
 
     /// Forgets a request that has its final answer.
     fn end(&mut self, request: RequestId, progress: Progress, out: &mut Effects) {
-        self.tell_progress(request, progress, out);
+        self.report_progress(request, progress, out);
         let Some(state) = self.in_flight.remove(&request) else {
             return;
         };
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -101,7 +101,7 @@
             let (fingerprint, sent) = (state.call.fingerprint, state.sent);
             self.suspect(&server, fingerprint, sent, out);
         }
-        self.tell_progress(request, Progress::Failed(ran, cause), out);
+        self.report_progress(request, Progress::Failed(ran, cause), out);
         // It is at no server now, and its end must not count there once more.
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.phase = Phase::Waiting;
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -114,7 +114,7 @@
     }
 
     /// Tells the scheduler how a request goes.
-    pub(crate) fn tell_progress(
+    pub(crate) fn report_progress(
         &mut self,
         request: RequestId,
         progress: Progress,
