--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -322,21 +322,21 @@
                 self.handle_resync(&service, from, &running, wants);
             }
             Message::Place(service, fence, request, server, version) => {
-                if self.follows(&service, fence, from, out) {
+                if self.accept_scheduler_message(&service, fence, from, out) {
                     self.keep_place(request, &server, version);
                     self.handle_placement(request, &server, version, out);
                 }
             }
             Message::Refuse(service, fence, request, after) => {
-                if self.follows(&service, fence, from, out) {
+                if self.accept_scheduler_message(&service, fence, from, out) {
                     self.handle_placement_refused(request, after, out);
                 }
             }
             Message::Alive(service, fence) => {
-                self.follows(&service, fence, from, out);
+                self.accept_scheduler_message(&service, fence, from, out);
             }
             Message::RequestLeaseVote(service, fence, asked) => {
-                if self.follows(&service, fence, from, out) {
+                if self.accept_scheduler_message(&service, fence, from, out) {
                     self.vote_requested(&service, fence, asked, from, out);
                 }
             }
@@ -344,7 +344,7 @@
                 self.voted(&service, fence, asked, from);
             }
             Message::Residents(service, fence, residents) => {
-                if self.follows(&service, fence, from, out) {
+                if self.accept_scheduler_message(&service, fence, from, out) {
                     self.pass_residents(&service, fence, &residents, out);
                     self.keep_residents(&service, residents);
                 }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -196,7 +196,7 @@
     }
 
     /// Whether a message of a scheduler counts: it does unless a newer one is known.
-    pub(crate) fn follows(
+    pub(crate) fn accept_scheduler_message(
         &mut self,
         service: &Service,
         fence: u64,
