--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -30,7 +30,7 @@
             return;
         };
         let me = self.settings.vm.clone();
-        match self.scheduler_of(&service) {
+        match self.scheduler_vm(&service) {
             Some(vm) if vm == me => self.handle_server_cooldown(&me, server, span),
             Some(vm) => self.send(&vm, Message::ServerCooldown(server.clone(), span), out),
             None => {}
--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -63,7 +63,7 @@
     /// The VM that counts what a server is sent.
     pub(super) fn counting_vm(&self, server: &Server) -> Vm {
         let service = self.service_of(server);
-        let scheduler = service.and_then(|service| self.scheduler_of(&service));
+        let scheduler = service.and_then(|service| self.scheduler_vm(&service));
         scheduler.unwrap_or_else(|| self.permit_issuer(server))
     }
 }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -234,7 +234,7 @@
     }
 
     /// The VM that schedules a service, as long as it is heard.
-    pub(crate) fn scheduler_of(&self, service: &Service) -> Option<Vm> {
+    pub(crate) fn scheduler_vm(&self, service: &Service) -> Option<Vm> {
         if self.schedulers.contains_key(service) {
             return Some(self.settings.vm.clone());
         }
