--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -346,7 +346,7 @@
             Message::Residents(service, fence, residents) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
                     self.pass_residents(&service, fence, &residents, out);
-                    self.keep_residents(&service, residents);
+                    self.record_residents(&service, residents);
                 }
             }
             Message::CrashReports(strikes) => self.handle_crash_reports(from, &strikes, out),
@@ -374,7 +374,7 @@
                     .get(&service)
                     .map(|client| client.fence);
                 if holder == Some(fence) {
-                    self.keep_residents(&service, residents);
+                    self.record_residents(&service, residents);
                 }
             }
         }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -252,7 +252,7 @@
     }
 
     /// Keeps what the scheduler says some engines hold.
-    pub(crate) fn keep_residents(&mut self, service: &Service, residents: Vec<Holding>) {
+    pub(crate) fn record_residents(&mut self, service: &Service, residents: Vec<Holding>) {
         let servers = &self.servers;
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         client
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -73,7 +73,7 @@
             }
             Decision::QueryReport(server, address) => out.push(Effect::Report(server, address)),
             Decision::Residents(residents) => {
-                self.keep_residents(service, residents.clone());
+                self.record_residents(service, residents.clone());
                 self.tell_residents(service, fence, residents, out);
             }
             Decision::Heartbeat => self.broadcast(&Message::Alive(service.clone(), fence), out),
