--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -323,7 +323,7 @@
             }
             Message::Place(service, fence, request, server, version) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
-                    self.keep_place(request, &server, version);
+                    self.record_placement(request, &server, version);
                     self.handle_placement(request, &server, version, out);
                 }
             }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -272,7 +272,7 @@
 
     /// Keeps where the scheduler had a request of this VM run: its adapter is there, until a word of the scheduler says
     /// otherwise or the engine has had as many newer ones as it holds.
-    pub(crate) fn keep_place(
+    pub(crate) fn record_placement(
         &mut self,
         request: RequestId,
         server: &Server,
