--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -206,7 +206,7 @@
             if restarted {
                 let detail = format!("server={server} start={:?}", backend.start);
                 Self::log(out, Code::ServerRestarted, detail);
-                self.forget_residents(&backend.service, server);
+                self.clear_residents(&backend.service, server);
                 self.forget_notices(server, out);
                 self.server_ended(server, out);
             }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -264,7 +264,7 @@
     }
 
     /// A server has started again and holds nothing of what it held.
-    pub(crate) fn forget_residents(&mut self, service: &Service, server: &Server) {
+    pub(crate) fn clear_residents(&mut self, service: &Service, server: &Server) {
         if let Some(client) = self.scheduler_clients.get_mut(service) {
             client.residents.remove(server);
         }
