--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -219,7 +219,7 @@
                 scheduler.update_adapter_version(model, adapter, *version, None);
             }
         }
-        let (running, wants) = self.state_for(service);
+        let (running, wants) = self.running_and_waiting(service);
         scheduler.resync_vm(self.now, &self.settings.vm, &running, wants);
         self.schedulers.insert(service.clone(), scheduler);
         self.timers.set(self.now, Timer::Scheduler(service.clone()));
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -389,7 +389,7 @@
         let Some(holder) = client.holder.clone().filter(|vm| *vm != self.settings.vm) else {
             return;
         };
-        let (running, wants) = self.state_for(service);
+        let (running, wants) = self.running_and_waiting(service);
         self.timers
             .set(self.now + HOLDER_TIMEOUT, Timer::Leadership);
         self.send(
@@ -403,7 +403,7 @@
     }
 
     /// All that runs and waits on this VM for a service.
-    pub(crate) fn state_for(&self, service: &Service) -> (Vec<Running>, Vec<Want>) {
+    pub(crate) fn running_and_waiting(&self, service: &Service) -> (Vec<Running>, Vec<Want>) {
         let mut running = Vec::new();
         let mut wants = Vec::new();
         // What waits for tokens of its account or for leave at a server wants no place yet.
