--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::fact::{Backend, Change, Fact, Revision, Subject, Way};
+use crate::cluster::snapshot::{Backend, Change, Fact, Revision, Subject, Way};
 use crate::config::{Config, Index};
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -6,9 +6,9 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::fact::{Fact, Subject};
 use crate::cluster::lease_vote::VOTE;
 use crate::cluster::membership;
+use crate::cluster::snapshot::{Fact, Subject};
 use crate::effect::Effects;
 use crate::node::Gateway;
 use crate::scheduler::client::HOLDER_TIMEOUT;
--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/follow.rs
@@ -13,9 +13,9 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use crate::cluster::fact::{Revision, Way};
 use crate::cluster::membership;
 use crate::cluster::passed_by;
+use crate::cluster::snapshot::{Revision, Way};
 use crate::effect::{Effect, Effects, Op, OpId, Reach};
 use crate::event::Outcome;
 use crate::message::Message;
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -15,8 +15,8 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::candidacy::{Candidacy, SETTLED};
-use crate::cluster::fact::{Change, Fact, Holder, Subject, Way, own};
 use crate::cluster::lease::{Kept, Terms};
+use crate::cluster::snapshot::{Change, Fact, Holder, Subject, Way, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -12,7 +12,7 @@
 use dahliastile_core::time::{Instant, Span};
 use rustc_hash::FxHasher;
 
-use crate::cluster::fact::Member;
+use crate::cluster::snapshot::Member;
 use crate::event::Fault;
 
 /// How long a VM without an entry is still spoken to after it was last heard.
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -9,8 +9,8 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::fact::{Fact, Revision, Subject, own};
 use crate::cluster::lease::{Kept, Terms};
+use crate::cluster::snapshot::{Fact, Revision, Subject, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -4,8 +4,8 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use crate::cluster::fact::{Change, Revision, Way};
 use crate::cluster::follow::{ALONE_GAP, SILENCE};
+use crate::cluster::snapshot::{Change, Revision, Way};
 use crate::effect::Effects;
 use crate::message::{Message, Replication};
 use crate::node::Gateway;
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::metric::Sample;
 use dahliastile_core::time::Span;
 
-use crate::cluster::fact::{Change, Revision, Subject, Version};
+use crate::cluster::snapshot::{Change, Revision, Subject, Version};
 use crate::event::{Lease, RequestId};
 use crate::message::Message;
 
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -9,7 +9,7 @@
 
 use crate::account::Tokens;
 use crate::account::key::Key;
-use crate::cluster::fact::{Base, Change, Revision};
+use crate::cluster::snapshot::{Base, Change, Revision};
 use crate::effect::{OpId, OrderId};
 use crate::message::Message;
 use crate::request::fingerprint::Fingerprint;
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -7,7 +7,7 @@
 
 use crate::account::Tokens;
 use crate::account::quota::{Draw, Grant};
-use crate::cluster::fact::{Change, Member, Resident, Revision, Version};
+use crate::cluster::snapshot::{Change, Member, Resident, Revision, Version};
 use crate::event::{Cause, Ran, RequestId, Work};
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Rate;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -13,12 +13,12 @@
 
 use crate::account::quota;
 use crate::cluster::apply;
-use crate::cluster::fact::{Member, Table};
 use crate::cluster::follow;
 use crate::cluster::leadership;
 use crate::cluster::lease_vote;
 use crate::cluster::membership::Membership;
 use crate::cluster::registration;
+use crate::cluster::snapshot::{Member, Table};
 use crate::config::startup_queue;
 use crate::config::{Config, Index, Limits};
 use crate::effect::{Effect, Effects, Op, OpId, Reach};
--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::cluster::fact::Backend;
+use crate::cluster::snapshot::Backend;
 use crate::feature::{Feature, Without};
 use crate::node::Gateway;
 use crate::request::health::Health;
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -9,8 +9,8 @@
 use dahliastile_core::time::Span;
 
 use super::rate_limiter::RateLimiter;
-use crate::cluster::fact::Version;
 use crate::cluster::membership;
+use crate::cluster::snapshot::Version;
 use crate::effect::Effects;
 use crate::event::RequestId;
 use crate::message::Message;
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -6,8 +6,8 @@
 use dahliastile_core::time::{Instant, Span};
 
 use super::QUARANTINE_DURATION;
-use crate::cluster::fact::{Fact, Revision, Subject, Way, own};
 use crate::cluster::lease::backoff;
+use crate::cluster::snapshot::{Fact, Revision, Subject, Way, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::{Lease, Outcome};
 use crate::node::Gateway;
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 
 use crate::account::{Account, Tokens};
-use crate::cluster::fact::Version;
+use crate::cluster::snapshot::Version;
 use crate::config::{Kind, Route, Target};
 use crate::effect::{Effect, Effects, Reason, Send, Verdict};
 use crate::event::{Call, RequestId};
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -34,7 +34,7 @@
 use dahliastile_core::log::Record;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::fact::{Backend, Version};
+use crate::cluster::snapshot::{Backend, Version};
 use crate::config::{Application, Engine as Shape};
 use crate::effect::{Order, OrderId};
 use crate::event::{Ordered, Report, RequestId, Work};
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -11,7 +11,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::candidacy::SETTLED;
-use crate::cluster::fact::{Fact, Holder, Resident, Revision, Subject, Version};
+use crate::cluster::snapshot::{Fact, Holder, Resident, Revision, Subject, Version};
 use crate::effect::Effects;
 use crate::event::{Fault, RequestId};
 use crate::measure;
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -12,7 +12,7 @@
 use super::job::Job;
 use super::key::{Key, Keys};
 use super::prefix_cache::Kept;
-use crate::cluster::fact::{Backend, Resident, Version};
+use crate::cluster::snapshot::{Backend, Resident, Version};
 use crate::effect::OrderId;
 use crate::event::Report;
 use crate::request::health::Health;
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -4,7 +4,7 @@
 
 use dahliastile_core::id::{Server, Service, Vm};
 
-use crate::cluster::fact::{Backend, Version};
+use crate::cluster::snapshot::{Backend, Version};
 use crate::effect::{Effects, OrderId};
 use crate::event::{Ordered, Report, RequestId};
 use crate::message::{Progress, Running, Want};
--- a/crates/gateway/src/scheduler/key.rs
+++ b/crates/gateway/src/scheduler/key.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 use super::popularity::Demand;
-use crate::cluster::fact::Version;
+use crate::cluster::snapshot::Version;
 
 /// How long the version before may still be used where the newest is not loaded yet, from when the scheduler hears of it: a
 /// fifth of the five seconds within which a version is to be in force, the rest being for hearing of it and for queues.
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::fact::{Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{Fact, Subject};
 use dahliastile_gateway::effect::Reason;
 use dahliastile_gateway::event::Call;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -9,7 +9,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::fact::{Change, Fact, Subject, Table, Way};
+use dahliastile_gateway::cluster::snapshot::{Change, Fact, Subject, Table, Way};
 use support::World;
 use support::setup::{config, name};
 
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -6,7 +6,7 @@
 
 use dahliastile_core::time::Span;
 
-use dahliastile_gateway::cluster::fact::Subject;
+use dahliastile_gateway::cluster::snapshot::Subject;
 use dahliastile_gateway::settings::Tuning;
 use support::World;
 use support::setup::{ENGINES, call, name, work};
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::Subject;
+use dahliastile_gateway::cluster::snapshot::Subject;
 use dahliastile_gateway::settings::Tuning;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -8,7 +8,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::fact::{Backend, Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, Fact, Subject};
 use support::World;
 use support::setup::{ENGINES, draft, name};
 
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -10,7 +10,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Backend, Resident};
+use dahliastile_gateway::cluster::snapshot::{Backend, Resident};
 use dahliastile_gateway::event::Report;
 use dahliastile_gateway::message::{Message, encode};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -5,7 +5,7 @@
 
 use dahliastile_core::id::{Incarnation, Server};
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Base, Resident};
+use dahliastile_gateway::cluster::snapshot::{Base, Resident};
 use dahliastile_gateway::effect::Order;
 use dahliastile_gateway::event::{Ordered, Report};
 
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::{Incarnation, Server, Service, Vm, Zone};
 use dahliastile_core::time::Span;
 use dahliastile_gateway::account::Tokens;
-use dahliastile_gateway::cluster::fact::{Backend, Base, Resident};
+use dahliastile_gateway::cluster::snapshot::{Backend, Base, Resident};
 use dahliastile_gateway::config::{
     Application, Config, Engine, Kind, Limits, Model, Route, Target,
 };
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Change, Fact, Revision, Subject};
+use dahliastile_gateway::cluster::snapshot::{Change, Fact, Revision, Subject};
 use dahliastile_gateway::effect::Op;
 use dahliastile_gateway::event::{Lease, Outcome};
 
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -11,7 +11,7 @@
 use dahliastile_core::id::{Incarnation, Server, Tenant};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::cluster::fact::{Backend, Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, Fact, Subject};
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::effect::{Op, Order, Reason, Send};
 use dahliastile_gateway::event::{Call, Event};
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::cluster::fact::{Change, Fact};
+use dahliastile_gateway::cluster::snapshot::{Change, Fact};
 use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
 use dahliastile_gateway::event::{Cause, Event, Fault, Ordered, Outcome, Ran};
 use rand::Rng;
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -6,7 +6,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Backend, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, Subject};
 use dahliastile_gateway::event::{Cause, Event, Presence, Ran};
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 
