--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -150,12 +150,12 @@
 
 /// All facts known, with the last revision of each subject, also of those that are gone.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct Snapshot {
     /// What is known of each subject.
     rows: BTreeMap<Subject, Row>,
 }
 
-impl Table {
+impl Snapshot {
     /// Takes a change in, unless the subject's known one is as new. Says whether it was taken.
     pub fn apply(&mut self, change: Change, way: Way) -> bool {
         match self.rows.get_mut(&change.subject) {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -18,7 +18,7 @@
 use crate::cluster::lease_vote;
 use crate::cluster::membership::Membership;
 use crate::cluster::registration;
-use crate::cluster::snapshot::{Member, Table};
+use crate::cluster::snapshot::{Member, Snapshot};
 use crate::config::startup_queue;
 use crate::config::{Config, Index, Limits};
 use crate::effect::{Effect, Effects, Op, OpId, Reach};
@@ -46,7 +46,7 @@
     /// Its random numbers.
     pub(crate) rng: ChaCha8Rng,
     /// The facts of the key-value service.
-    pub(crate) facts: Table,
+    pub(crate) facts: Snapshot,
     /// The configuration in force.
     pub(crate) config: Option<Arc<Config>>,
     /// Its index.
@@ -98,7 +98,7 @@
         Self {
             now: Instant::default(),
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
-            facts: Table::default(),
+            facts: Snapshot::default(),
             config: None,
             index: Index::default(),
             membership: Membership::default(),
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -9,7 +9,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{Change, Fact, Subject, Table, Way};
+use dahliastile_gateway::cluster::snapshot::{Change, Fact, Snapshot, Subject, Way};
 use support::World;
 use support::setup::{config, name};
 
@@ -257,7 +257,7 @@
         created: 5,
         fact: Some(fact),
     };
-    let mut table = Table::default();
+    let mut table = Snapshot::default();
     assert!(table.is_change(&config, 4));
     assert!(table.apply(config.clone(), Way::Told));
     assert!(
@@ -353,7 +353,7 @@
         created: 1,
         fact: Some(Fact::Server(backend.clone())),
     };
-    let mut table = Table::default();
+    let mut table = Snapshot::default();
     assert!(table.differs(&entry(5)), "it is not known");
     assert!(table.apply(entry(5), Way::Told));
     assert!(!table.differs(&entry(6)));
