--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -45,7 +45,7 @@
             match &change.subject {
                 Subject::Server(server) if recovering && change.fact.is_none() => {
                     // It may be told late, and the server be back by now.
-                    if self.facts.lacks(&change) {
+                    if self.snapshot.lacks(&change) {
                         self.lapse(server.clone(), out);
                     }
                 }
@@ -61,7 +61,7 @@
         revision: Revision,
         out: &mut Effects,
     ) {
-        let known: Vec<Subject> = self.facts.present().map(|c| c.subject.clone()).collect();
+        let known: Vec<Subject> = self.snapshot.present().map(|c| c.subject.clone()).collect();
         let listed: BTreeSet<Subject> = changes.iter().map(|c| c.subject.clone()).collect();
         self.apply_changes(changes, Way::Told, false, out);
         for subject in known.into_iter().filter(|s| !listed.contains(s)) {
@@ -80,7 +80,7 @@
             Code::EntryLapsed,
             format!("server={server} until={until}"),
         );
-        self.facts.lapse(&Subject::Server(server.clone()));
+        self.snapshot.lapse(&Subject::Server(server.clone()));
         self.applied.lapsed.entry(server).or_insert(until);
         self.timers.set(until, Timer::Follow);
     }
@@ -95,7 +95,7 @@
             .collect();
         for server in due {
             self.applied.lapsed.remove(&server);
-            self.facts.forget(&Subject::Server(server.clone()));
+            self.snapshot.forget(&Subject::Server(server.clone()));
             self.lose_server(&server, out);
         }
     }
@@ -109,7 +109,7 @@
                 return;
             }
         }
-        if !self.facts.apply(change.clone(), way) {
+        if !self.snapshot.apply(change.clone(), way) {
             return;
         }
         match (change.subject, change.fact) {
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -153,7 +153,7 @@
 
     /// Whether a leadership can be taken by any VM, as far as this one knows.
     fn vacancy_for_any(&self, service: &Service) -> Vacancy {
-        let change = self.facts.get(&Subject::Holder(service.clone()));
+        let change = self.snapshot.get(&Subject::Holder(service.clone()));
         let Some(Fact::Holder(holder)) = change.and_then(|change| change.fact.as_ref()) else {
             return Vacancy::Free;
         };
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -212,7 +212,7 @@
                     .inform_scheduler(self.now, &self.settings.vm, &mut scheduler, server);
             }
         }
-        for change in self.facts.present() {
+        for change in self.snapshot.present() {
             if let (Subject::Version(model, adapter), Some(Fact::Version(version))) =
                 (&change.subject, &change.fact)
             {
@@ -246,7 +246,7 @@
             format!("service={service} fence={fence}"),
         );
         self.leadership_lost(service, out);
-        let known = self.facts.get(&Subject::Holder(service.clone()));
+        let known = self.snapshot.get(&Subject::Holder(service.clone()));
         if known.is_some_and(|change| change.revision == fence) {
             self.resign(service, out);
         }
@@ -267,7 +267,7 @@
     /// Takes this VM out of a leadership, unless somebody else has it by now.
     pub(crate) fn resign(&mut self, service: &Service, out: &mut Effects) {
         let subject = Subject::Holder(service.clone());
-        if let Some(revision) = self.facts.get(&subject).map(|c| c.revision) {
+        if let Some(revision) = self.snapshot.get(&subject).map(|c| c.revision) {
             Self::log(
                 out,
                 Code::SeatLeft,
@@ -366,7 +366,7 @@
     /// Whether the lease is wanted: a leadership is held or to be taken, or may yet be written by a call that had no answer.
     fn wants_lease(&self) -> bool {
         let engines = self.index.engines();
-        let mut held = engines.filter_map(|s| self.facts.get(&Subject::Holder(s.name.clone())));
+        let mut held = engines.filter_map(|s| self.snapshot.get(&Subject::Holder(s.name.clone())));
         !self.schedulers.is_empty()
             || !self.leaderships.asked.is_empty()
             || !self.leaderships.calls.is_empty()
@@ -416,7 +416,7 @@
         };
         let subject = Subject::Holder(service);
         let known = self
-            .facts
+            .snapshot
             .get(&subject)
             .filter(|change| change.fact.is_some());
         let expected = known.map_or(0, |change| change.revision);
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -27,7 +27,7 @@
     pub(crate) fn follow_asked(&mut self, from: &Vm, since: Revision, out: &mut Effects) {
         let until = self.now + SUBSCRIPTION;
         self.follow.followers.insert(from.clone(), until);
-        let changes: Vec<Change> = self.facts.after(since).cloned().collect();
+        let changes: Vec<Change> = self.snapshot.after(since).cloned().collect();
         let batch = self.batch(since, self.follow.cursor.unwrap_or(since), changes);
         self.send(from, Message::Replicate(batch), out);
         if since == 0 {
@@ -53,7 +53,7 @@
         let taken = batch
             .changes
             .iter()
-            .any(|change| self.facts.differs(change));
+            .any(|change| self.snapshot.differs(change));
         self.apply_changes(batch.changes, Way::Told, batch.recovering, out);
         match self.follow.cursor {
             Some(cursor) if cursor >= batch.since && batch.until > cursor => {
@@ -64,7 +64,7 @@
         // Each VM passes a change on once, so that VMs which follow each other don't tell each other again and again, and not for
         // entries that are only newer: with 3,000 servers those would go round without end after a start of all VMs.
         if let (true, Some(since), Some(until)) = (taken, since, self.follow.cursor) {
-            let changes = self.facts.after(since).cloned().collect();
+            let changes = self.snapshot.after(since).cloned().collect();
             self.pass_on(changes, since, until, out);
         }
     }
@@ -99,7 +99,7 @@
         out: &mut Effects,
     ) {
         let since = self.follow.cursor.unwrap_or(0);
-        let changes = self.facts.changes_among(changes, since);
+        let changes = self.snapshot.changes_among(changes, since);
         self.pass_on(changes, since, revision, out);
     }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -46,7 +46,7 @@
     /// Its random numbers.
     pub(crate) rng: ChaCha8Rng,
     /// The facts of the key-value service.
-    pub(crate) facts: Snapshot,
+    pub(crate) snapshot: Snapshot,
     /// The configuration in force.
     pub(crate) config: Option<Arc<Config>>,
     /// Its index.
@@ -98,7 +98,7 @@
         Self {
             now: Instant::default(),
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
-            facts: Snapshot::default(),
+            snapshot: Snapshot::default(),
             config: None,
             index: Index::default(),
             membership: Membership::default(),
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -125,7 +125,7 @@
 
     /// The revision of a request's record, where it is there.
     fn recorded_at(&self, fingerprint: Fingerprint) -> Option<Revision> {
-        let known = self.facts.get(&Subject::Quarantine(fingerprint));
+        let known = self.snapshot.get(&Subject::Quarantine(fingerprint));
         let there = known.filter(|change| change.fact.is_some());
         there.map(|change| change.revision)
     }
