--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::snapshot::{Backend, Change, Fact, Revision, Subject, Way};
+use crate::cluster::snapshot::{Backend, Change, EntryKey, Fact, Revision, Way};
 use crate::config::{Config, Index};
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
@@ -43,7 +43,7 @@
     ) {
         for change in changes {
             match &change.subject {
-                Subject::Server(server) if recovering && change.fact.is_none() => {
+                EntryKey::Server(server) if recovering && change.fact.is_none() => {
                     // It may be told late, and the server be back by now.
                     if self.snapshot.lacks(&change) {
                         self.lapse(server.clone(), out);
@@ -61,13 +61,13 @@
         revision: Revision,
         out: &mut Effects,
     ) {
-        let known: Vec<Subject> = self.snapshot.present().map(|c| c.subject.clone()).collect();
-        let listed: BTreeSet<Subject> = changes.iter().map(|c| c.subject.clone()).collect();
+        let known: Vec<EntryKey> = self.snapshot.present().map(|c| c.subject.clone()).collect();
+        let listed: BTreeSet<EntryKey> = changes.iter().map(|c| c.subject.clone()).collect();
         self.apply_changes(changes, Way::Told, false, out);
         for subject in known.into_iter().filter(|s| !listed.contains(s)) {
             match subject {
-                Subject::Config | Subject::Version(..) => {}
-                Subject::Server(server) if self.recovering() => self.lapse(server, out),
+                EntryKey::Config | EntryKey::Version(..) => {}
+                EntryKey::Server(server) if self.recovering() => self.lapse(server, out),
                 subject => self.apply(removal(subject, revision), Way::Told, out),
             }
         }
@@ -80,7 +80,7 @@
             Code::EntryLapsed,
             format!("server={server} until={until}"),
         );
-        self.snapshot.lapse(&Subject::Server(server.clone()));
+        self.snapshot.lapse(&EntryKey::Server(server.clone()));
         self.applied.lapsed.entry(server).or_insert(until);
         self.timers.set(until, Timer::Follow);
     }
@@ -95,7 +95,7 @@
             .collect();
         for server in due {
             self.applied.lapsed.remove(&server);
-            self.snapshot.forget(&Subject::Server(server.clone()));
+            self.snapshot.forget(&EntryKey::Server(server.clone()));
             self.lose_server(&server, out);
         }
     }
@@ -105,7 +105,7 @@
         if change.fact == Some(Fact::Unreadable) {
             self.note_unreadable(&change.subject, out);
             // What the operator wrote stays in force until it writes anew.
-            if matches!(change.subject, Subject::Config | Subject::Version(..)) {
+            if matches!(change.subject, EntryKey::Config | EntryKey::Version(..)) {
                 return;
             }
         }
@@ -113,8 +113,8 @@
             return;
         }
         match (change.subject, change.fact) {
-            (Subject::Config, Some(Fact::Config(config))) => self.apply_config(config, out),
-            (Subject::Version(model, adapter), Some(Fact::Version(version))) => {
+            (EntryKey::Config, Some(Fact::Config(config))) => self.apply_config(config, out),
+            (EntryKey::Version(model, adapter), Some(Fact::Version(version))) => {
                 self.update_adapter_version(&model, &adapter, version);
                 Self::log(
                     out,
@@ -122,29 +122,29 @@
                     format!("adapter={model}/{adapter} version={version}"),
                 );
             }
-            (Subject::Server(server), Some(Fact::Server(backend))) => {
+            (EntryKey::Server(server), Some(Fact::Server(backend))) => {
                 self.applied.lapsed.remove(&server);
                 self.apply_server(&server, &backend, out);
             }
-            (Subject::Server(server), _) => self.lose_server(&server, out),
-            (Subject::Holder(service), Some(Fact::Holder(holder))) => {
+            (EntryKey::Server(server), _) => self.lose_server(&server, out),
+            (EntryKey::Holder(service), Some(Fact::Holder(holder))) => {
                 self.handle_new_holder(&service, &holder, change.revision, out);
             }
-            (Subject::Holder(service), _) => self.handle_holder_gone(&service, out),
-            (Subject::Quarantine(fingerprint), Some(_)) => {
+            (EntryKey::Holder(service), _) => self.handle_holder_gone(&service, out),
+            (EntryKey::Quarantine(fingerprint), Some(_)) => {
                 self.put_in_quarantine(fingerprint, QUARANTINE_DURATION, "record", out);
             }
-            (Subject::Quarantine(fingerprint), None) => {
+            (EntryKey::Quarantine(fingerprint), None) => {
                 self.end_quarantine(fingerprint, "record_gone", out);
             }
-            (Subject::Member(vm), None) if vm == self.settings.vm => self.registration_gone(),
-            (Subject::Member(vm), Some(Fact::Member(member))) => {
+            (EntryKey::Member(vm), None) if vm == self.settings.vm => self.registration_gone(),
+            (EntryKey::Member(vm), Some(Fact::Member(member))) => {
                 if vm == self.settings.vm && member.incarnation != self.settings.incarnation {
                     self.quota_returned();
                 }
                 self.membership.listed(&vm, &member);
             }
-            (Subject::Member(vm), _) if self.membership.unlisted(&vm, self.now) => {
+            (EntryKey::Member(vm), _) if self.membership.unlisted(&vm, self.now) => {
                 self.remove_scheduler_vm(&vm);
             }
             _ => {}
@@ -152,7 +152,7 @@
     }
 
     /// Writes a line on an entry that can't be read. A writer of such entries may write any number of them.
-    fn note_unreadable(&mut self, subject: &Subject, out: &mut Effects) {
+    fn note_unreadable(&mut self, subject: &EntryKey, out: &mut Effects) {
         self.applied.unreadable += 1;
         if self.now < self.applied.told + UNREADABLE_AGAIN {
             return;
@@ -192,7 +192,7 @@
                 }
             }
             None if self.applied.starts => {
-                self.note_unreadable(&Subject::Server(server.clone()), out);
+                self.note_unreadable(&EntryKey::Server(server.clone()), out);
                 self.lose_server(server, out);
                 return;
             }
@@ -237,7 +237,7 @@
 }
 
 /// That a subject is gone as of a revision.
-fn removal(subject: Subject, revision: Revision) -> Change {
+fn removal(subject: EntryKey, revision: Revision) -> Change {
     Change {
         subject,
         revision,
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -16,7 +16,7 @@
 
 use crate::cluster::candidacy::{Candidacy, SETTLED};
 use crate::cluster::lease::{Kept, Terms};
-use crate::cluster::snapshot::{Change, Fact, Holder, Subject, Way, own};
+use crate::cluster::snapshot::{Change, EntryKey, Fact, Holder, Way, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
@@ -213,7 +213,7 @@
             }
         }
         for change in self.snapshot.present() {
-            if let (Subject::Version(model, adapter), Some(Fact::Version(version))) =
+            if let (EntryKey::Version(model, adapter), Some(Fact::Version(version))) =
                 (&change.subject, &change.fact)
             {
                 scheduler.update_adapter_version(model, adapter, *version, None);
@@ -246,7 +246,7 @@
             format!("service={service} fence={fence}"),
         );
         self.leadership_lost(service, out);
-        let known = self.snapshot.get(&Subject::Holder(service.clone()));
+        let known = self.snapshot.get(&EntryKey::Holder(service.clone()));
         if known.is_some_and(|change| change.revision == fence) {
             self.resign(service, out);
         }
@@ -266,7 +266,7 @@
 
     /// Takes this VM out of a leadership, unless somebody else has it by now.
     pub(crate) fn resign(&mut self, service: &Service, out: &mut Effects) {
-        let subject = Subject::Holder(service.clone());
+        let subject = EntryKey::Holder(service.clone());
         if let Some(revision) = self.snapshot.get(&subject).map(|c| c.revision) {
             Self::log(
                 out,
@@ -298,7 +298,7 @@
 
     fn leadership_written(&mut self, service: &Service, revision: u64, out: &mut Effects) {
         let mut change = own(
-            Subject::Holder(service.clone()),
+            EntryKey::Holder(service.clone()),
             Fact::Holder(self.as_holder()),
         );
         change.revision = revision;
@@ -366,7 +366,7 @@
     /// Whether the lease is wanted: a leadership is held or to be taken, or may yet be written by a call that had no answer.
     fn wants_lease(&self) -> bool {
         let engines = self.index.engines();
-        let mut held = engines.filter_map(|s| self.snapshot.get(&Subject::Holder(s.name.clone())));
+        let mut held = engines.filter_map(|s| self.snapshot.get(&EntryKey::Holder(s.name.clone())));
         !self.schedulers.is_empty()
             || !self.leaderships.asked.is_empty()
             || !self.leaderships.calls.is_empty()
@@ -414,13 +414,13 @@
             self.keep_lease(out);
             return;
         };
-        let subject = Subject::Holder(service);
+        let subject = EntryKey::Holder(service);
         let known = self
             .snapshot
             .get(&subject)
             .filter(|change| change.fact.is_some());
         let expected = known.map_or(0, |change| change.revision);
-        let member = Subject::Member(self.settings.vm.clone());
+        let member = EntryKey::Member(self.settings.vm.clone());
         let conditions = vec![(subject.clone(), expected), (member, entry)];
         let change = own(subject, Fact::Holder(self.as_holder()));
         self.leadership_call(purpose, Op::Put(change, lease, conditions), out);
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -10,7 +10,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::lease::{Kept, Terms};
-use crate::cluster::snapshot::{Fact, Revision, Subject, own};
+use crate::cluster::snapshot::{EntryKey, Fact, Revision, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
@@ -184,7 +184,7 @@
             return;
         };
         let fact = Fact::Member(self.member());
-        let change = own(Subject::Member(self.settings.vm.clone()), fact);
+        let change = own(EntryKey::Member(self.settings.vm.clone()), fact);
         self.registration_call(Purpose::Write, Op::Put(change, lease, Vec::new()), out);
     }
 
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -18,7 +18,7 @@
 
 /// What a fact is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Subject {
+pub enum EntryKey {
     /// The operator's configuration.
     Config,
     /// The newest version of an adapter of a base model.
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// The subject.
-    pub subject: Subject,
+    pub subject: EntryKey,
     /// The revision of the change.
     pub revision: Revision,
     /// The revision at which the subject came to be there, 0 where it is gone.
@@ -152,7 +152,7 @@
 #[derive(Debug, Default)]
 pub struct Snapshot {
     /// What is known of each subject.
-    rows: BTreeMap<Subject, Row>,
+    rows: BTreeMap<EntryKey, Row>,
 }
 
 impl Snapshot {
@@ -215,7 +215,7 @@
     /// and is back as it was says nothing new only to those who did not hear that it went.
     #[must_use]
     pub fn changes_among(&self, changes: &[Change], since: Revision) -> Vec<Change> {
-        let mut told: BTreeSet<&Subject> = BTreeSet::new();
+        let mut told: BTreeSet<&EntryKey> = BTreeSet::new();
         let mut differing = Vec::new();
         for change in changes {
             if told.contains(&change.subject) || self.is_change(change, since) {
@@ -227,14 +227,14 @@
     }
 
     /// A subject is gone, but is not taken for gone yet.
-    pub fn lapse(&mut self, subject: &Subject) {
+    pub fn lapse(&mut self, subject: &EntryKey) {
         if let Some(row) = self.rows.get_mut(subject) {
             row.lapsed = true;
         }
     }
 
     /// Takes a subject as gone without a change that says so; any later change brings it back.
-    pub fn forget(&mut self, subject: &Subject) {
+    pub fn forget(&mut self, subject: &EntryKey) {
         if let Some(row) = self.rows.get_mut(subject) {
             row.change.fact = None;
         }
@@ -242,7 +242,7 @@
 
     /// The last change of a subject.
     #[must_use]
-    pub fn get(&self, subject: &Subject) -> Option<&Change> {
+    pub fn get(&self, subject: &EntryKey) -> Option<&Change> {
         self.rows.get(subject).map(|row| &row.change)
     }
 
@@ -261,7 +261,7 @@
 }
 
 /// A fact that this VM writes; the key-value service gives it its revision.
-pub(crate) fn own(subject: Subject, fact: Fact) -> Change {
+pub(crate) fn own(subject: EntryKey, fact: Fact) -> Change {
     Change {
         subject,
         revision: 0,
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::metric::Sample;
 use dahliastile_core::time::Span;
 
-use crate::cluster::snapshot::{Change, Revision, Subject, Version};
+use crate::cluster::snapshot::{Change, EntryKey, Revision, Version};
 use crate::event::{Lease, RequestId};
 use crate::message::Message;
 
@@ -108,9 +108,9 @@
     /// End a lease.
     End(Lease),
     /// Write a fact under a lease, if each of these subjects is still as of a revision (0: not there).
-    Put(Change, Lease, Vec<(Subject, Revision)>),
+    Put(Change, Lease, Vec<(EntryKey, Revision)>),
     /// Remove a subject that is still as of a revision.
-    Remove(Subject, Revision),
+    Remove(EntryKey, Revision),
 }
 
 impl Op {
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -7,7 +7,7 @@
 
 use super::QUARANTINE_DURATION;
 use crate::cluster::lease::backoff;
-use crate::cluster::snapshot::{Fact, Revision, Subject, Way, own};
+use crate::cluster::snapshot::{EntryKey, Fact, Revision, Way, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::{Lease, Outcome};
 use crate::node::Gateway;
@@ -125,7 +125,7 @@
 
     /// The revision of a request's record, where it is there.
     fn recorded_at(&self, fingerprint: Fingerprint) -> Option<Revision> {
-        let known = self.snapshot.get(&Subject::Quarantine(fingerprint));
+        let known = self.snapshot.get(&EntryKey::Quarantine(fingerprint));
         let there = known.filter(|change| change.fact.is_some());
         there.map(|change| change.revision)
     }
@@ -156,7 +156,7 @@
     }
 
     fn pursue(&mut self, fingerprint: Fingerprint, goal: Goal, out: &mut Effects) {
-        let subject = Subject::Quarantine(fingerprint);
+        let subject = EntryKey::Quarantine(fingerprint);
         let known = self.recorded_at(fingerprint);
         let lease = self.quarantine.records.lease(self.now);
         let purpose = Purpose::Record(fingerprint);
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{EntryKey, Fact};
 use dahliastile_gateway::effect::Reason;
 use dahliastile_gateway::event::Call;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
@@ -273,7 +273,7 @@
     world.run(Span::from_secs(2));
     let more = many(&mut world, 20, 1, REPEATED, Span::from_secs(20));
     let written = world.store.history.iter();
-    let written = written.filter(|change| matches!(change.subject, Subject::Quarantine(_)));
+    let written = written.filter(|change| matches!(change.subject, EntryKey::Quarantine(_)));
     assert_eq!(written.count(), 20);
     // Each request, and what all are told of it, goes to a dozen VMs some times.
     assert!(more < 20 * (30 + 8 * 12 * 3), "{more} messages more");
@@ -365,7 +365,7 @@
             world.crashing.fingerprints.clear();
         }
         let fingerprint = Fingerprint::of(["/plan/crash".as_bytes()]);
-        world.store.remove(&Subject::Quarantine(fingerprint));
+        world.store.remove(&EntryKey::Quarantine(fingerprint));
         world.wake_watchers();
         world.run(Span::from_secs(1));
         let work = work("a3", 600, 15);
@@ -511,9 +511,14 @@
     }
     world.run(Span::from_secs(6));
     let fingerprint = Fingerprint::of([path.as_bytes(), id.as_bytes()]);
-    world.write(Subject::Quarantine(fingerprint), Fact::Quarantine);
+    world.write(EntryKey::Quarantine(fingerprint), Fact::Quarantine);
     world.run(Span::from_secs(2));
-    assert!(world.store.get(&Subject::Quarantine(fingerprint)).is_none());
+    assert!(
+        world
+            .store
+            .get(&EntryKey::Quarantine(fingerprint))
+            .is_none()
+    );
     let numbers = world.ask_all(6, Span::from_millis(100), long);
     world.run(Span::from_secs(8));
     assert_eq!(world.served_of(&numbers), numbers.len());
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -9,7 +9,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{Change, Fact, Snapshot, Subject, Way};
+use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, Fact, Snapshot, Way};
 use support::World;
 use support::setup::{config, name};
 
@@ -21,7 +21,7 @@
         let backend = world.servers[&id].1.clone();
         world
             .store
-            .put(Subject::Server(id), Fact::Server(Arc::clone(&backend)), 0);
+            .put(EntryKey::Server(id), Fact::Server(Arc::clone(&backend)), 0);
         world.wake_watchers();
         world.run(step);
     }
@@ -116,7 +116,7 @@
     world.wake_watchers();
     world.run(Span::from_secs(3));
     for server in ["e0", "e1", "e2", "e3", "p0"] {
-        world.store.remove(&Subject::Server(name(server)));
+        world.store.remove(&EntryKey::Server(name(server)));
     }
     world.store_up = true;
     world.run(Span::from_millis(900));
@@ -163,7 +163,7 @@
     for at in 0..500_u64 {
         let id = name(&format!("e{}", at % 4));
         let fact = Fact::Server(world.servers[&id].1.clone());
-        world.store.put(Subject::Server(id), fact, 0);
+        world.store.put(EntryKey::Server(id), fact, 0);
         world.wake_watchers();
         world.run(step);
     }
@@ -250,7 +250,7 @@
 #[test]
 fn news_toldearlierispassedon() {
     let world = calm(1);
-    let (subject, fact) = (Subject::Config, Fact::Config(Arc::new(config(9))));
+    let (subject, fact) = (EntryKey::Config, Fact::Config(Arc::new(config(9))));
     let config = Change {
         subject,
         revision: 5,
@@ -269,7 +269,7 @@
         let mut backend = (*world.servers[&name::<Server>("e0")].1).clone();
         backend.ready = ready;
         Change {
-            subject: Subject::Server(name("e0")),
+            subject: EntryKey::Server(name("e0")),
             revision,
             created: 1,
             fact: Some(Fact::Server(Arc::new(backend))),
@@ -300,7 +300,7 @@
 fn entry_goneandbackatonceisknown() {
     let mut world = calm(12);
     let (subject, back) = (
-        Subject::Server(name("p0")),
+        EntryKey::Server(name("p0")),
         world.servers[&name::<Server>("p0")].1.clone(),
     );
     // One such pair falls into a pause of each watcher.
@@ -328,7 +328,7 @@
         world.run(Span::from_secs(4));
         let ids = ["e0", "e1", "e2", "e3", "p0"];
         for server in ids {
-            world.store.remove(&Subject::Server(name(server)));
+            world.store.remove(&EntryKey::Server(name(server)));
         }
         world.store_up = true;
         world.run(Span::from_millis(back));
@@ -348,7 +348,7 @@
     let world = calm(1);
     let backend = world.servers[&name::<Server>("e0")].1.clone();
     let entry = |revision: u64| Change {
-        subject: Subject::Server(name("e0")),
+        subject: EntryKey::Server(name("e0")),
         revision,
         created: 1,
         fact: Some(Fact::Server(backend.clone())),
@@ -369,6 +369,6 @@
         }),
         "it is older"
     );
-    table.lapse(&Subject::Server(name("e0")));
+    table.lapse(&EntryKey::Server(name("e0")));
     assert!(table.differs(&entry(8)), "it is back");
 }
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -6,7 +6,7 @@
 
 use dahliastile_core::time::Span;
 
-use dahliastile_gateway::cluster::snapshot::Subject;
+use dahliastile_gateway::cluster::snapshot::EntryKey;
 use dahliastile_gateway::settings::Tuning;
 use support::World;
 use support::setup::{ENGINES, call, name, work};
@@ -282,7 +282,7 @@
             if let Some(vm) = holder {
                 world.hosts[vm].store = false;
             }
-            world.store.remove(&Subject::Holder(name(ENGINES)));
+            world.store.remove(&EntryKey::Holder(name(ENGINES)));
             world.wake_watchers();
         }
         world.quiet_night(Span::from_millis(40));
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::snapshot::Subject;
+use dahliastile_gateway::cluster::snapshot::EntryKey;
 use dahliastile_gateway::settings::Tuning;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -240,7 +240,7 @@
         world.quiet_night(Span::from_millis(3_000 + apart));
         world.hosts[old].store = false;
         world.hosts[old].peers = false;
-        world.store.remove(&Subject::Holder(name(ENGINES)));
+        world.store.remove(&EntryKey::Holder(name(ENGINES)));
         world.store_up = true;
         world.wake_watchers();
         cold_everywhere(&mut world, 40);
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -8,7 +8,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{Backend, Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, Fact};
 use support::World;
 use support::setup::{ENGINES, draft, name};
 
@@ -82,7 +82,7 @@
     let (_, earlier) = world.servers[&name::<Server>("e1")].clone();
     world.restart_server("e1", 2);
     world.quiet_night(Span::from_secs(2));
-    world.write(Subject::Server(name("e1")), Fact::Server(earlier));
+    world.write(EntryKey::Server(name("e1")), Fact::Server(earlier));
     let numbers = world.quiet_night(Span::from_secs(3));
     world.run(Span::from_secs(5));
     assert_eq!(world.served_of(&numbers), numbers.len());
@@ -130,7 +130,7 @@
         } else {
             format!("x{at}")
         };
-        world.write(Subject::Server(name(&spoilt)), Fact::Unreadable);
+        world.write(EntryKey::Server(name(&spoilt)), Fact::Unreadable);
     }
     world.run(Span::from_millis(200));
     let numbers = world.quiet_night(Span::from_secs(2));
@@ -159,7 +159,10 @@
         start: None,
         ..(*good).clone()
     };
-    world.write(Subject::Server(name("p9")), Fact::Server(Arc::new(nowhere)));
+    world.write(
+        EntryKey::Server(name("p9")),
+        Fact::Server(Arc::new(nowhere)),
+    );
     world.run(Span::from_millis(200));
     let post = |at| support::setup::call(&format!("p{at}"), "/post/x", 2_000, None);
     let numbers = world.ask_all(40, PAUSE, post);
@@ -174,12 +177,12 @@
 fn entry_unreadablefreestheseat() {
     let mut world = warm();
     world.name_version("a1", 3);
-    world.write(Subject::Config, Fact::Unreadable);
+    world.write(EntryKey::Config, Fact::Unreadable);
     world.write(
-        Subject::Version("base".into(), "a1".into()),
+        EntryKey::Version("base".into(), "a1".into()),
         Fact::Unreadable,
     );
-    world.write(Subject::Holder(name(ENGINES)), Fact::Unreadable);
+    world.write(EntryKey::Holder(name(ENGINES)), Fact::Unreadable);
     world.run(Span::from_secs(3));
     assert!(world.holder().is_some());
     let numbers = world.quiet_night(Span::from_secs(2));
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::snapshot::{Change, Fact, Revision, Subject};
+use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, Fact, Revision};
 use dahliastile_gateway::effect::Op;
 use dahliastile_gateway::event::{Lease, Outcome};
 
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct Store {
     /// The items, with their leases.
-    items: BTreeMap<Subject, (Change, Lease)>,
+    items: BTreeMap<EntryKey, (Change, Lease)>,
     /// All changes.
     pub history: Vec<Change>,
     /// The leases, each with its length and its end.
@@ -42,7 +42,7 @@
 
 impl Store {
     /// Writes an item, as the operator or a server does.
-    pub fn put(&mut self, subject: Subject, fact: Fact, lease: Lease) -> Revision {
+    pub fn put(&mut self, subject: EntryKey, fact: Fact, lease: Lease) -> Revision {
         self.revision += 1;
         let created = self
             .items
@@ -60,7 +60,7 @@
     }
 
     /// Removes an item.
-    pub fn remove(&mut self, subject: &Subject) {
+    pub fn remove(&mut self, subject: &EntryKey) {
         if self.items.remove(subject).is_none() {
             return;
         }
@@ -74,7 +74,7 @@
     }
 
     /// The item of a subject.
-    pub fn get(&self, subject: &Subject) -> Option<&Change> {
+    pub fn get(&self, subject: &EntryKey) -> Option<&Change> {
         self.items.get(subject).map(|(change, _)| change)
     }
 
@@ -94,7 +94,7 @@
     /// Ends a lease.
     pub fn end(&mut self, lease: Lease) {
         self.leases.remove(&lease);
-        let gone: Vec<Subject> = self
+        let gone: Vec<EntryKey> = self
             .items
             .iter()
             .filter(|(_, (_, l))| *l == lease)
@@ -187,9 +187,9 @@
         &mut self,
         change: Change,
         lease: Lease,
-        conditions: &[(Subject, Revision)],
+        conditions: &[(EntryKey, Revision)],
     ) -> Outcome {
-        let known = |subject: &Subject| self.get(subject).map_or(0, |c| c.revision);
+        let known = |subject: &EntryKey| self.get(subject).map_or(0, |c| c.revision);
         let mut failed = conditions
             .iter()
             .filter(|(s, revision)| known(s) != *revision);
@@ -201,7 +201,7 @@
         }
     }
 
-    fn conflict(&self, subject: &Subject) -> Outcome {
+    fn conflict(&self, subject: &EntryKey) -> Outcome {
         Outcome::Conflict(self.get(subject).cloned().into_iter().collect())
     }
 }
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -11,7 +11,7 @@
 use dahliastile_core::id::{Incarnation, Server, Tenant};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::cluster::snapshot::{Backend, Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, Fact};
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::effect::{Op, Order, Reason, Send};
 use dahliastile_gateway::event::{Call, Event};
@@ -301,7 +301,7 @@
     /// The operator writes a configuration.
     pub fn configure(&mut self, config: Config) {
         self.store
-            .put(Subject::Config, Fact::Config(Arc::new(config)), 0);
+            .put(EntryKey::Config, Fact::Config(Arc::new(config)), 0);
         self.wake_watchers();
     }
 
@@ -310,7 +310,7 @@
         let adapter: Arc<str> = adapter.into();
         self.versions.insert(adapter.clone(), version);
         self.names.push((self.now, adapter.clone(), version));
-        let subject = Subject::Version(MODEL.into(), adapter);
+        let subject = EntryKey::Version(MODEL.into(), adapter);
         self.store.put(subject, Fact::Version(version), 0);
         self.wake_watchers();
     }
@@ -345,7 +345,7 @@
     fn register(&mut self, made: Engine, backend: Backend) {
         let (id, backend) = (made.id.clone(), Arc::new(backend));
         self.servers.insert(id.clone(), (made, backend.clone()));
-        self.write(Subject::Server(id), Fact::Server(backend));
+        self.write(EntryKey::Server(id), Fact::Server(backend));
     }
 
     /// A server says that it is leaving.
@@ -356,7 +356,7 @@
         leaving.ready = false;
         *backend = Arc::new(leaving);
         let fact = Fact::Server(backend.clone());
-        self.store.put(Subject::Server(id), fact, 0);
+        self.store.put(EntryKey::Server(id), fact, 0);
         self.wake_watchers();
     }
 
@@ -375,12 +375,12 @@
         anew.start = Some(Incarnation(start));
         *backend = Arc::new(anew);
         let fact = Fact::Server(backend.clone());
-        self.store.put(Subject::Server(id), fact, 0);
+        self.store.put(EntryKey::Server(id), fact, 0);
         self.wake_watchers();
     }
 
     /// Another program writes an entry, or a late write is carried out.
-    pub fn write(&mut self, subject: Subject, fact: Fact) {
+    pub fn write(&mut self, subject: EntryKey, fact: Fact) {
         self.store.put(subject, fact, 0);
         self.wake_watchers();
     }
@@ -389,18 +389,18 @@
     pub fn rewrite(&mut self, id: &str) {
         let id: Server = name(id);
         let fact = Fact::Server(self.servers[&id].1.clone());
-        self.write(Subject::Server(id), fact);
+        self.write(EntryKey::Server(id), fact);
     }
 
     /// A server's entry goes.
     pub fn unlist(&mut self, id: &str) {
-        self.store.remove(&Subject::Server(name(id)));
+        self.store.remove(&EntryKey::Server(name(id)));
         self.wake_watchers();
     }
 
     /// The VM that holds the leadership of the engines, by the key-value service.
     pub fn holder(&self) -> Option<usize> {
-        let change = self.store.get(&Subject::Holder(name(ENGINES)))?;
+        let change = self.store.get(&EntryKey::Holder(name(ENGINES)))?;
         match change.fact.as_ref()? {
             Fact::Holder(holder) => holder.vm.as_str().strip_prefix("vm")?.parse().ok(),
             _ => None,
@@ -431,9 +431,9 @@
     pub fn revoke(&mut self, vm: usize) {
         self.hosts[vm].store = false;
         self.store
-            .remove(&Subject::Member(name(&format!("vm{vm}"))));
+            .remove(&EntryKey::Member(name(&format!("vm{vm}"))));
         if self.holder() == Some(vm) {
-            self.store.remove(&Subject::Holder(name(ENGINES)));
+            self.store.remove(&EntryKey::Holder(name(ENGINES)));
         }
         self.wake_watchers();
     }
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -6,7 +6,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::snapshot::{Backend, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey};
 use dahliastile_gateway::event::{Cause, Event, Presence, Ran};
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 
@@ -122,7 +122,7 @@
     }
 
     pub(super) fn unlist_server(&mut self, server: Server) {
-        self.store.remove(&Subject::Server(server));
+        self.store.remove(&EntryKey::Server(server));
         self.wake_watchers();
     }
 
