--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::snapshot::{Backend, Change, EntryKey, Fact, Revision, Way};
+use crate::cluster::snapshot::{Backend, Change, EntryKey, EntryValue, Revision, Way};
 use crate::config::{Config, Index};
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
@@ -102,7 +102,7 @@
 
     /// Takes one change in, unless a newer one of its subject is known.
     fn apply(&mut self, change: Change, way: Way, out: &mut Effects) {
-        if change.fact == Some(Fact::Unreadable) {
+        if change.fact == Some(EntryValue::Unreadable) {
             self.note_unreadable(&change.subject, out);
             // What the operator wrote stays in force until it writes anew.
             if matches!(change.subject, EntryKey::Config | EntryKey::Version(..)) {
@@ -113,8 +113,8 @@
             return;
         }
         match (change.subject, change.fact) {
-            (EntryKey::Config, Some(Fact::Config(config))) => self.apply_config(config, out),
-            (EntryKey::Version(model, adapter), Some(Fact::Version(version))) => {
+            (EntryKey::Config, Some(EntryValue::Config(config))) => self.apply_config(config, out),
+            (EntryKey::Version(model, adapter), Some(EntryValue::Version(version))) => {
                 self.update_adapter_version(&model, &adapter, version);
                 Self::log(
                     out,
@@ -122,12 +122,12 @@
                     format!("adapter={model}/{adapter} version={version}"),
                 );
             }
-            (EntryKey::Server(server), Some(Fact::Server(backend))) => {
+            (EntryKey::Server(server), Some(EntryValue::Server(backend))) => {
                 self.applied.lapsed.remove(&server);
                 self.apply_server(&server, &backend, out);
             }
             (EntryKey::Server(server), _) => self.lose_server(&server, out),
-            (EntryKey::Holder(service), Some(Fact::Holder(holder))) => {
+            (EntryKey::Holder(service), Some(EntryValue::Holder(holder))) => {
                 self.handle_new_holder(&service, &holder, change.revision, out);
             }
             (EntryKey::Holder(service), _) => self.handle_holder_gone(&service, out),
@@ -138,7 +138,7 @@
                 self.end_quarantine(fingerprint, "record_gone", out);
             }
             (EntryKey::Member(vm), None) if vm == self.settings.vm => self.registration_gone(),
-            (EntryKey::Member(vm), Some(Fact::Member(member))) => {
+            (EntryKey::Member(vm), Some(EntryValue::Member(member))) => {
                 if vm == self.settings.vm && member.incarnation != self.settings.incarnation {
                     self.quota_returned();
                 }
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -8,7 +8,7 @@
 
 use crate::cluster::lease_vote::VOTE;
 use crate::cluster::membership;
-use crate::cluster::snapshot::{EntryKey, Fact};
+use crate::cluster::snapshot::{EntryKey, EntryValue};
 use crate::effect::Effects;
 use crate::node::Gateway;
 use crate::scheduler::client::HOLDER_TIMEOUT;
@@ -154,7 +154,8 @@
     /// Whether a leadership can be taken by any VM, as far as this one knows.
     fn vacancy_for_any(&self, service: &Service) -> Vacancy {
         let change = self.snapshot.get(&EntryKey::Holder(service.clone()));
-        let Some(Fact::Holder(holder)) = change.and_then(|change| change.fact.as_ref()) else {
+        let Some(EntryValue::Holder(holder)) = change.and_then(|change| change.fact.as_ref())
+        else {
             return Vacancy::Free;
         };
         let fencing = self.settings.tuning.fencing;
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -16,7 +16,7 @@
 
 use crate::cluster::candidacy::{Candidacy, SETTLED};
 use crate::cluster::lease::{Kept, Terms};
-use crate::cluster::snapshot::{Change, EntryKey, Fact, Holder, Way, own};
+use crate::cluster::snapshot::{Change, EntryKey, EntryValue, Holder, Way, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
@@ -213,7 +213,7 @@
             }
         }
         for change in self.snapshot.present() {
-            if let (EntryKey::Version(model, adapter), Some(Fact::Version(version))) =
+            if let (EntryKey::Version(model, adapter), Some(EntryValue::Version(version))) =
                 (&change.subject, &change.fact)
             {
                 scheduler.update_adapter_version(model, adapter, *version, None);
@@ -287,7 +287,7 @@
 
     /// Whether a change says that this VM, in this start, holds a leadership.
     fn is_holder(&self, change: &Change) -> bool {
-        change.fact == Some(Fact::Holder(self.as_holder()))
+        change.fact == Some(EntryValue::Holder(self.as_holder()))
     }
 
     fn leadership_call(&mut self, purpose: Purpose, op: Op, out: &mut Effects) {
@@ -299,7 +299,7 @@
     fn leadership_written(&mut self, service: &Service, revision: u64, out: &mut Effects) {
         let mut change = own(
             EntryKey::Holder(service.clone()),
-            Fact::Holder(self.as_holder()),
+            EntryValue::Holder(self.as_holder()),
         );
         change.revision = revision;
         change.created = revision;
@@ -422,7 +422,7 @@
         let expected = known.map_or(0, |change| change.revision);
         let member = EntryKey::Member(self.settings.vm.clone());
         let conditions = vec![(subject.clone(), expected), (member, entry)];
-        let change = own(subject, Fact::Holder(self.as_holder()));
+        let change = own(subject, EntryValue::Holder(self.as_holder()));
         self.leadership_call(purpose, Op::Put(change, lease, conditions), out);
     }
 }
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -10,7 +10,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::lease::{Kept, Terms};
-use crate::cluster::snapshot::{EntryKey, Fact, Revision, own};
+use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
@@ -183,7 +183,7 @@
         let Some(lease) = self.registration.lease.id() else {
             return;
         };
-        let fact = Fact::Member(self.member());
+        let fact = EntryValue::Member(self.member());
         let change = own(EntryKey::Member(self.settings.vm.clone()), fact);
         self.registration_call(Purpose::Write, Op::Put(change, lease, Vec::new()), out);
     }
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -98,7 +98,7 @@
 
 /// What the key-value service says about a subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Fact {
+pub enum EntryValue {
     /// The operator's configuration.
     Config(Arc<Config>),
     /// The newest version of an adapter.
@@ -125,7 +125,7 @@
     /// The revision at which the subject came to be there, 0 where it is gone.
     pub created: Revision,
     /// What it is now.
-    pub fact: Option<Fact>,
+    pub fact: Option<EntryValue>,
 }
 
 /// What is known of one subject.
@@ -261,7 +261,7 @@
 }
 
 /// A fact that this VM writes; the key-value service gives it its revision.
-pub(crate) fn own(subject: EntryKey, fact: Fact) -> Change {
+pub(crate) fn own(subject: EntryKey, fact: EntryValue) -> Change {
     Change {
         subject,
         revision: 0,
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -7,7 +7,7 @@
 
 use super::QUARANTINE_DURATION;
 use crate::cluster::lease::backoff;
-use crate::cluster::snapshot::{EntryKey, Fact, Revision, Way, own};
+use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, Way, own};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::{Lease, Outcome};
 use crate::node::Gateway;
@@ -168,7 +168,7 @@
             }
             (Goal::Absent(_), Some(revision), _) => (purpose, Op::Remove(subject, revision)),
             (Goal::Present, _, Some(lease)) => {
-                let change = own(subject.clone(), Fact::Quarantine);
+                let change = own(subject.clone(), EntryValue::Quarantine);
                 (purpose, Op::Put(change, lease, vec![(subject, 0)]))
             }
             (Goal::Present, _, None) => (Purpose::Lease, Op::Grant(QUARANTINE_DURATION)),
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -11,7 +11,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::candidacy::SETTLED;
-use crate::cluster::snapshot::{EntryKey, Fact, Holder, Resident, Revision, Version};
+use crate::cluster::snapshot::{EntryKey, EntryValue, Holder, Resident, Revision, Version};
 use crate::effect::Effects;
 use crate::event::{Fault, RequestId};
 use crate::measure;
@@ -108,7 +108,7 @@
     pub(crate) fn newest(&self, model: &Arc<str>, adapter: &Arc<str>) -> Version {
         let subject = EntryKey::Version(model.clone(), adapter.clone());
         match self.snapshot.get(&subject).and_then(|c| c.fact.as_ref()) {
-            Some(Fact::Version(version)) => *version,
+            Some(EntryValue::Version(version)) => *version,
             _ => 0,
         }
     }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{EntryKey, Fact};
+use dahliastile_gateway::cluster::snapshot::{EntryKey, EntryValue};
 use dahliastile_gateway::effect::Reason;
 use dahliastile_gateway::event::Call;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
@@ -511,7 +511,7 @@
     }
     world.run(Span::from_secs(6));
     let fingerprint = Fingerprint::of([path.as_bytes(), id.as_bytes()]);
-    world.write(EntryKey::Quarantine(fingerprint), Fact::Quarantine);
+    world.write(EntryKey::Quarantine(fingerprint), EntryValue::Quarantine);
     world.run(Span::from_secs(2));
     assert!(
         world
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -9,7 +9,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, Fact, Snapshot, Way};
+use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, EntryValue, Snapshot, Way};
 use support::World;
 use support::setup::{config, name};
 
@@ -19,9 +19,11 @@
     for at in 0..span.0 / step.0 {
         let id = name(&format!("e{}", at % 4));
         let backend = world.servers[&id].1.clone();
-        world
-            .store
-            .put(EntryKey::Server(id), Fact::Server(Arc::clone(&backend)), 0);
+        world.store.put(
+            EntryKey::Server(id),
+            EntryValue::Server(Arc::clone(&backend)),
+            0,
+        );
         world.wake_watchers();
         world.run(step);
     }
@@ -162,7 +164,7 @@
     let step = Span::from_millis(10);
     for at in 0..500_u64 {
         let id = name(&format!("e{}", at % 4));
-        let fact = Fact::Server(world.servers[&id].1.clone());
+        let fact = EntryValue::Server(world.servers[&id].1.clone());
         world.store.put(EntryKey::Server(id), fact, 0);
         world.wake_watchers();
         world.run(step);
@@ -250,7 +252,7 @@
 #[test]
 fn news_toldearlierispassedon() {
     let world = calm(1);
-    let (subject, fact) = (EntryKey::Config, Fact::Config(Arc::new(config(9))));
+    let (subject, fact) = (EntryKey::Config, EntryValue::Config(Arc::new(config(9))));
     let config = Change {
         subject,
         revision: 5,
@@ -272,7 +274,7 @@
             subject: EntryKey::Server(name("e0")),
             revision,
             created: 1,
-            fact: Some(Fact::Server(Arc::new(backend))),
+            fact: Some(EntryValue::Server(Arc::new(backend))),
         }
     };
     assert!(table.apply(entry(6, true), Way::Watched));
@@ -308,7 +310,7 @@
         world.store.remove(&subject);
         world
             .store
-            .put(subject.clone(), Fact::Server(back.clone()), 0);
+            .put(subject.clone(), EntryValue::Server(back.clone()), 0);
         world.wake_watchers();
         churn(&mut world, Span::from_millis(100));
     }
@@ -351,7 +353,7 @@
         subject: EntryKey::Server(name("e0")),
         revision,
         created: 1,
-        fact: Some(Fact::Server(backend.clone())),
+        fact: Some(EntryValue::Server(backend.clone())),
     };
     let mut table = Snapshot::default();
     assert!(table.differs(&entry(5)), "it is not known");
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -8,7 +8,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, Fact};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use support::World;
 use support::setup::{ENGINES, draft, name};
 
@@ -82,7 +82,7 @@
     let (_, earlier) = world.servers[&name::<Server>("e1")].clone();
     world.restart_server("e1", 2);
     world.quiet_night(Span::from_secs(2));
-    world.write(EntryKey::Server(name("e1")), Fact::Server(earlier));
+    world.write(EntryKey::Server(name("e1")), EntryValue::Server(earlier));
     let numbers = world.quiet_night(Span::from_secs(3));
     world.run(Span::from_secs(5));
     assert_eq!(world.served_of(&numbers), numbers.len());
@@ -130,7 +130,7 @@
         } else {
             format!("x{at}")
         };
-        world.write(EntryKey::Server(name(&spoilt)), Fact::Unreadable);
+        world.write(EntryKey::Server(name(&spoilt)), EntryValue::Unreadable);
     }
     world.run(Span::from_millis(200));
     let numbers = world.quiet_night(Span::from_secs(2));
@@ -161,7 +161,7 @@
     };
     world.write(
         EntryKey::Server(name("p9")),
-        Fact::Server(Arc::new(nowhere)),
+        EntryValue::Server(Arc::new(nowhere)),
     );
     world.run(Span::from_millis(200));
     let post = |at| support::setup::call(&format!("p{at}"), "/post/x", 2_000, None);
@@ -177,12 +177,12 @@
 fn entry_unreadablefreestheseat() {
     let mut world = warm();
     world.name_version("a1", 3);
-    world.write(EntryKey::Config, Fact::Unreadable);
+    world.write(EntryKey::Config, EntryValue::Unreadable);
     world.write(
         EntryKey::Version("base".into(), "a1".into()),
-        Fact::Unreadable,
+        EntryValue::Unreadable,
     );
-    world.write(EntryKey::Holder(name(ENGINES)), Fact::Unreadable);
+    world.write(EntryKey::Holder(name(ENGINES)), EntryValue::Unreadable);
     world.run(Span::from_secs(3));
     assert!(world.holder().is_some());
     let numbers = world.quiet_night(Span::from_secs(2));
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, Fact, Revision};
+use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, EntryValue, Revision};
 use dahliastile_gateway::effect::Op;
 use dahliastile_gateway::event::{Lease, Outcome};
 
@@ -42,7 +42,7 @@
 
 impl Store {
     /// Writes an item, as the operator or a server does.
-    pub fn put(&mut self, subject: EntryKey, fact: Fact, lease: Lease) -> Revision {
+    pub fn put(&mut self, subject: EntryKey, fact: EntryValue, lease: Lease) -> Revision {
         self.revision += 1;
         let created = self
             .items
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -11,7 +11,7 @@
 use dahliastile_core::id::{Incarnation, Server, Tenant};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, Fact};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::effect::{Op, Order, Reason, Send};
 use dahliastile_gateway::event::{Call, Event};
@@ -301,7 +301,7 @@
     /// The operator writes a configuration.
     pub fn configure(&mut self, config: Config) {
         self.store
-            .put(EntryKey::Config, Fact::Config(Arc::new(config)), 0);
+            .put(EntryKey::Config, EntryValue::Config(Arc::new(config)), 0);
         self.wake_watchers();
     }
 
@@ -311,7 +311,7 @@
         self.versions.insert(adapter.clone(), version);
         self.names.push((self.now, adapter.clone(), version));
         let subject = EntryKey::Version(MODEL.into(), adapter);
-        self.store.put(subject, Fact::Version(version), 0);
+        self.store.put(subject, EntryValue::Version(version), 0);
         self.wake_watchers();
     }
 
@@ -345,7 +345,7 @@
     fn register(&mut self, made: Engine, backend: Backend) {
         let (id, backend) = (made.id.clone(), Arc::new(backend));
         self.servers.insert(id.clone(), (made, backend.clone()));
-        self.write(EntryKey::Server(id), Fact::Server(backend));
+        self.write(EntryKey::Server(id), EntryValue::Server(backend));
     }
 
     /// A server says that it is leaving.
@@ -355,7 +355,7 @@
         let mut leaving = (**backend).clone();
         leaving.ready = false;
         *backend = Arc::new(leaving);
-        let fact = Fact::Server(backend.clone());
+        let fact = EntryValue::Server(backend.clone());
         self.store.put(EntryKey::Server(id), fact, 0);
         self.wake_watchers();
     }
@@ -374,13 +374,13 @@
         let mut anew = (**backend).clone();
         anew.start = Some(Incarnation(start));
         *backend = Arc::new(anew);
-        let fact = Fact::Server(backend.clone());
+        let fact = EntryValue::Server(backend.clone());
         self.store.put(EntryKey::Server(id), fact, 0);
         self.wake_watchers();
     }
 
     /// Another program writes an entry, or a late write is carried out.
-    pub fn write(&mut self, subject: EntryKey, fact: Fact) {
+    pub fn write(&mut self, subject: EntryKey, fact: EntryValue) {
         self.store.put(subject, fact, 0);
         self.wake_watchers();
     }
@@ -388,7 +388,7 @@
     /// A server rewrites its entry as it is.
     pub fn rewrite(&mut self, id: &str) {
         let id: Server = name(id);
-        let fact = Fact::Server(self.servers[&id].1.clone());
+        let fact = EntryValue::Server(self.servers[&id].1.clone());
         self.write(EntryKey::Server(id), fact);
     }
 
@@ -402,7 +402,7 @@
     pub fn holder(&self) -> Option<usize> {
         let change = self.store.get(&EntryKey::Holder(name(ENGINES)))?;
         match change.fact.as_ref()? {
-            Fact::Holder(holder) => holder.vm.as_str().strip_prefix("vm")?.parse().ok(),
+            EntryValue::Holder(holder) => holder.vm.as_str().strip_prefix("vm")?.parse().ok(),
             _ => None,
         }
     }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::cluster::snapshot::{Change, Fact};
+use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
 use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
 use dahliastile_gateway::event::{Cause, Event, Fault, Ordered, Outcome, Ran};
 use rand::Rng;
@@ -163,7 +163,7 @@
     }
 
     pub(super) fn lag(&self, vm: usize, outcome: &Outcome) -> Span {
-        let leadership = |change: &Change| matches!(change.fact, Some(Fact::Holder(_)));
+        let leadership = |change: &Change| matches!(change.fact, Some(EntryValue::Holder(_)));
         match outcome {
             Outcome::Written(_) => self.hosts[vm].store_lag,
             Outcome::Watched(changes, _) if changes.iter().any(leadership) => {
