--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -42,8 +42,8 @@
         out: &mut Effects,
     ) {
         for change in changes {
-            match &change.subject {
-                EntryKey::Server(server) if recovering && change.fact.is_none() => {
+            match &change.key {
+                EntryKey::Server(server) if recovering && change.value.is_none() => {
                     // It may be told late, and the server be back by now.
                     if self.snapshot.lacks(&change) {
                         self.lapse(server.clone(), out);
@@ -61,8 +61,8 @@
         revision: Revision,
         out: &mut Effects,
     ) {
-        let known: Vec<EntryKey> = self.snapshot.present().map(|c| c.subject.clone()).collect();
-        let listed: BTreeSet<EntryKey> = changes.iter().map(|c| c.subject.clone()).collect();
+        let known: Vec<EntryKey> = self.snapshot.present().map(|c| c.key.clone()).collect();
+        let listed: BTreeSet<EntryKey> = changes.iter().map(|c| c.key.clone()).collect();
         self.apply_changes(changes, Way::Told, false, out);
         for subject in known.into_iter().filter(|s| !listed.contains(s)) {
             match subject {
@@ -102,17 +102,17 @@
 
     /// Takes one change in, unless a newer one of its subject is known.
     fn apply(&mut self, change: Change, way: Way, out: &mut Effects) {
-        if change.fact == Some(EntryValue::Unreadable) {
-            self.note_unreadable(&change.subject, out);
+        if change.value == Some(EntryValue::Unreadable) {
+            self.note_unreadable(&change.key, out);
             // What the operator wrote stays in force until it writes anew.
-            if matches!(change.subject, EntryKey::Config | EntryKey::Version(..)) {
+            if matches!(change.key, EntryKey::Config | EntryKey::Version(..)) {
                 return;
             }
         }
         if !self.snapshot.apply(change.clone(), way) {
             return;
         }
-        match (change.subject, change.fact) {
+        match (change.key, change.value) {
             (EntryKey::Config, Some(EntryValue::Config(config))) => self.apply_config(config, out),
             (EntryKey::Version(model, adapter), Some(EntryValue::Version(version))) => {
                 self.update_adapter_version(&model, &adapter, version);
@@ -239,9 +239,9 @@
 /// That a subject is gone as of a revision.
 fn removal(subject: EntryKey, revision: Revision) -> Change {
     Change {
-        subject,
+        key: subject,
         revision,
         created: 0,
-        fact: None,
+        value: None,
     }
 }
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -154,7 +154,7 @@
     /// Whether a leadership can be taken by any VM, as far as this one knows.
     fn vacancy_for_any(&self, service: &Service) -> Vacancy {
         let change = self.snapshot.get(&EntryKey::Holder(service.clone()));
-        let Some(EntryValue::Holder(holder)) = change.and_then(|change| change.fact.as_ref())
+        let Some(EntryValue::Holder(holder)) = change.and_then(|change| change.value.as_ref())
         else {
             return Vacancy::Free;
         };
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -214,7 +214,7 @@
         }
         for change in self.snapshot.present() {
             if let (EntryKey::Version(model, adapter), Some(EntryValue::Version(version))) =
-                (&change.subject, &change.fact)
+                (&change.key, &change.value)
             {
                 scheduler.update_adapter_version(model, adapter, *version, None);
             }
@@ -287,7 +287,7 @@
 
     /// Whether a change says that this VM, in this start, holds a leadership.
     fn is_holder(&self, change: &Change) -> bool {
-        change.fact == Some(EntryValue::Holder(self.as_holder()))
+        change.value == Some(EntryValue::Holder(self.as_holder()))
     }
 
     fn leadership_call(&mut self, purpose: Purpose, op: Op, out: &mut Effects) {
@@ -418,7 +418,7 @@
         let known = self
             .snapshot
             .get(&subject)
-            .filter(|change| change.fact.is_some());
+            .filter(|change| change.value.is_some());
         let expected = known.map_or(0, |change| change.revision);
         let member = EntryKey::Member(self.settings.vm.clone());
         let conditions = vec![(subject.clone(), expected), (member, entry)];
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -119,13 +119,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// The subject.
-    pub subject: EntryKey,
+    pub key: EntryKey,
     /// The revision of the change.
     pub revision: Revision,
     /// The revision at which the subject came to be there, 0 where it is gone.
     pub created: Revision,
     /// What it is now.
-    pub fact: Option<EntryValue>,
+    pub value: Option<EntryValue>,
 }
 
 /// What is known of one subject.
@@ -158,11 +158,11 @@
 impl Snapshot {
     /// Takes a change in, unless the subject's known one is as new. Says whether it was taken.
     pub fn apply(&mut self, change: Change, way: Way) -> bool {
-        match self.rows.get_mut(&change.subject) {
+        match self.rows.get_mut(&change.key) {
             Some(known) if known.change.revision >= change.revision => false,
             Some(known) => {
                 let lapsed = std::mem::take(&mut known.lapsed);
-                if way == Way::Told || lapsed || known.change.fact != change.fact {
+                if way == Way::Told || lapsed || known.change.value != change.value {
                     known.changed = change.revision;
                 }
                 known.change = change;
@@ -171,7 +171,7 @@
             None => {
                 let changed = change.revision;
                 self.rows.insert(
-                    change.subject.clone(),
+                    change.key.clone(),
                     Row {
                         change,
                         changed,
@@ -186,7 +186,7 @@
     /// Whether a change is newer than what is known of its subject.
     #[must_use]
     pub fn lacks(&self, change: &Change) -> bool {
-        let known = self.rows.get(&change.subject);
+        let known = self.rows.get(&change.key);
         known.is_none_or(|known| known.change.revision < change.revision)
     }
 
@@ -194,10 +194,10 @@
     /// about once a second each, which nobody needs to hear of.
     #[must_use]
     pub fn differs(&self, change: &Change) -> bool {
-        let known = self.rows.get(&change.subject);
+        let known = self.rows.get(&change.key);
         known.is_none_or(|known| {
             let newer = known.change.revision < change.revision;
-            newer && (known.lapsed || known.change.fact != change.fact)
+            newer && (known.lapsed || known.change.value != change.value)
         })
     }
 
@@ -205,9 +205,9 @@
     /// this VM was told of the change before, as the other one may not have been.
     #[must_use]
     pub fn is_change(&self, change: &Change, since: Revision) -> bool {
-        let known = self.rows.get(&change.subject);
+        let known = self.rows.get(&change.key);
         known.is_none_or(|known| {
-            known.changed > since || known.lapsed || known.change.fact != change.fact
+            known.changed > since || known.lapsed || known.change.value != change.value
         })
     }
 
@@ -218,8 +218,8 @@
         let mut told: BTreeSet<&EntryKey> = BTreeSet::new();
         let mut differing = Vec::new();
         for change in changes {
-            if told.contains(&change.subject) || self.is_change(change, since) {
-                told.insert(&change.subject);
+            if told.contains(&change.key) || self.is_change(change, since) {
+                told.insert(&change.key);
                 differing.push(change.clone());
             }
         }
@@ -236,7 +236,7 @@
     /// Takes a subject as gone without a change that says so; any later change brings it back.
     pub fn forget(&mut self, subject: &EntryKey) {
         if let Some(row) = self.rows.get_mut(subject) {
-            row.change.fact = None;
+            row.change.value = None;
         }
     }
 
@@ -256,16 +256,16 @@
     /// The subjects that are there.
     pub fn present(&self) -> impl Iterator<Item = &Change> {
         let changes = self.rows.values().map(|row| &row.change);
-        changes.filter(|change| change.fact.is_some())
+        changes.filter(|change| change.value.is_some())
     }
 }
 
 /// A fact that this VM writes; the key-value service gives it its revision.
 pub(crate) fn own(subject: EntryKey, fact: EntryValue) -> Change {
     Change {
-        subject,
+        key: subject,
         revision: 0,
         created: 0,
-        fact: Some(fact),
+        value: Some(fact),
     }
 }
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -126,7 +126,7 @@
     /// The revision of a request's record, where it is there.
     fn recorded_at(&self, fingerprint: Fingerprint) -> Option<Revision> {
         let known = self.snapshot.get(&EntryKey::Quarantine(fingerprint));
-        let there = known.filter(|change| change.fact.is_some());
+        let there = known.filter(|change| change.value.is_some());
         there.map(|change| change.revision)
     }
 
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -107,7 +107,7 @@
     /// The newest version of an adapter that is known, 0 where none was named.
     pub(crate) fn newest(&self, model: &Arc<str>, adapter: &Arc<str>) -> Version {
         let subject = EntryKey::Version(model.clone(), adapter.clone());
-        match self.snapshot.get(&subject).and_then(|c| c.fact.as_ref()) {
+        match self.snapshot.get(&subject).and_then(|c| c.value.as_ref()) {
             Some(EntryValue::Version(version)) => *version,
             _ => 0,
         }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -273,7 +273,7 @@
     world.run(Span::from_secs(2));
     let more = many(&mut world, 20, 1, REPEATED, Span::from_secs(20));
     let written = world.store.history.iter();
-    let written = written.filter(|change| matches!(change.subject, EntryKey::Quarantine(_)));
+    let written = written.filter(|change| matches!(change.key, EntryKey::Quarantine(_)));
     assert_eq!(written.count(), 20);
     // Each request, and what all are told of it, goes to a dozen VMs some times.
     assert!(more < 20 * (30 + 8 * 12 * 3), "{more} messages more");
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -254,10 +254,10 @@
     let world = calm(1);
     let (subject, fact) = (EntryKey::Config, EntryValue::Config(Arc::new(config(9))));
     let config = Change {
-        subject,
+        key: subject,
         revision: 5,
         created: 5,
-        fact: Some(fact),
+        value: Some(fact),
     };
     let mut table = Snapshot::default();
     assert!(table.is_change(&config, 4));
@@ -271,10 +271,10 @@
         let mut backend = (*world.servers[&name::<Server>("e0")].1).clone();
         backend.ready = ready;
         Change {
-            subject: EntryKey::Server(name("e0")),
+            key: EntryKey::Server(name("e0")),
             revision,
             created: 1,
-            fact: Some(EntryValue::Server(Arc::new(backend))),
+            value: Some(EntryValue::Server(Arc::new(backend))),
         }
     };
     assert!(table.apply(entry(6, true), Way::Watched));
@@ -350,17 +350,17 @@
     let world = calm(1);
     let backend = world.servers[&name::<Server>("e0")].1.clone();
     let entry = |revision: u64| Change {
-        subject: EntryKey::Server(name("e0")),
+        key: EntryKey::Server(name("e0")),
         revision,
         created: 1,
-        fact: Some(EntryValue::Server(backend.clone())),
+        value: Some(EntryValue::Server(backend.clone())),
     };
     let mut table = Snapshot::default();
     assert!(table.differs(&entry(5)), "it is not known");
     assert!(table.apply(entry(5), Way::Told));
     assert!(!table.differs(&entry(6)));
     let gone = Change {
-        fact: None,
+        value: None,
         ..entry(7)
     };
     assert!(table.differs(&gone));
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -49,10 +49,10 @@
             .get(&subject)
             .map_or(self.revision, |(change, _)| change.created);
         let change = Change {
-            subject: subject.clone(),
+            key: subject.clone(),
             revision: self.revision,
             created,
-            fact: Some(fact),
+            value: Some(fact),
         };
         self.items.insert(subject, (change.clone(), lease));
         self.history.push(change);
@@ -66,10 +66,10 @@
         }
         self.revision += 1;
         self.history.push(Change {
-            subject: subject.clone(),
+            key: subject.clone(),
             revision: self.revision,
             created: 0,
-            fact: None,
+            value: None,
         });
     }
 
@@ -193,10 +193,10 @@
         let mut failed = conditions
             .iter()
             .filter(|(s, revision)| known(s) != *revision);
-        match (failed.next(), change.fact) {
+        match (failed.next(), change.value) {
             (Some((subject, _)), _) => self.conflict(subject),
             _ if !self.leases.contains_key(&lease) => Outcome::NoLease,
-            (_, Some(fact)) => Outcome::Written(self.put(change.subject, fact, lease)),
+            (_, Some(fact)) => Outcome::Written(self.put(change.key, fact, lease)),
             (_, None) => Outcome::Refused,
         }
     }
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -401,7 +401,7 @@
     /// The VM that holds the leadership of the engines, by the key-value service.
     pub fn holder(&self) -> Option<usize> {
         let change = self.store.get(&EntryKey::Holder(name(ENGINES)))?;
-        match change.fact.as_ref()? {
+        match change.value.as_ref()? {
             EntryValue::Holder(holder) => holder.vm.as_str().strip_prefix("vm")?.parse().ok(),
             _ => None,
         }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -163,7 +163,7 @@
     }
 
     pub(super) fn lag(&self, vm: usize, outcome: &Outcome) -> Span {
-        let leadership = |change: &Change| matches!(change.fact, Some(EntryValue::Holder(_)));
+        let leadership = |change: &Change| matches!(change.value, Some(EntryValue::Holder(_)));
         match outcome {
             Outcome::Written(_) => self.hosts[vm].store_lag,
             Outcome::Watched(changes, _) if changes.iter().any(leadership) => {
