--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -16,7 +16,7 @@
 
 use crate::cluster::candidacy::{Candidacy, SETTLED};
 use crate::cluster::lease::{Kept, Terms};
-use crate::cluster::snapshot::{Change, EntryKey, EntryValue, Holder, Way, own};
+use crate::cluster::snapshot::{Change, EntryKey, EntryValue, Holder, Way, proposed_change};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
@@ -297,7 +297,7 @@
     }
 
     fn leadership_written(&mut self, service: &Service, revision: u64, out: &mut Effects) {
-        let mut change = own(
+        let mut change = proposed_change(
             EntryKey::Holder(service.clone()),
             EntryValue::Holder(self.as_holder()),
         );
@@ -422,7 +422,7 @@
         let expected = known.map_or(0, |change| change.revision);
         let member = EntryKey::Member(self.settings.vm.clone());
         let conditions = vec![(subject.clone(), expected), (member, entry)];
-        let change = own(subject, EntryValue::Holder(self.as_holder()));
+        let change = proposed_change(subject, EntryValue::Holder(self.as_holder()));
         self.leadership_call(purpose, Op::Put(change, lease, conditions), out);
     }
 }
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -10,7 +10,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::lease::{Kept, Terms};
-use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, own};
+use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, proposed_change};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
@@ -184,7 +184,7 @@
             return;
         };
         let fact = EntryValue::Member(self.member());
-        let change = own(EntryKey::Member(self.settings.vm.clone()), fact);
+        let change = proposed_change(EntryKey::Member(self.settings.vm.clone()), fact);
         self.registration_call(Purpose::Write, Op::Put(change, lease, Vec::new()), out);
     }
 
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -261,7 +261,7 @@
 }
 
 /// A fact that this VM writes; the key-value service gives it its revision.
-pub(crate) fn own(subject: EntryKey, fact: EntryValue) -> Change {
+pub(crate) fn proposed_change(subject: EntryKey, fact: EntryValue) -> Change {
     Change {
         key: subject,
         revision: 0,
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -7,7 +7,7 @@
 
 use super::QUARANTINE_DURATION;
 use crate::cluster::lease::backoff;
-use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, Way, own};
+use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, Way, proposed_change};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::{Lease, Outcome};
 use crate::node::Gateway;
@@ -168,7 +168,7 @@
             }
             (Goal::Absent(_), Some(revision), _) => (purpose, Op::Remove(subject, revision)),
             (Goal::Present, _, Some(lease)) => {
-                let change = own(subject.clone(), EntryValue::Quarantine);
+                let change = proposed_change(subject.clone(), EntryValue::Quarantine);
                 (purpose, Op::Put(change, lease, vec![(subject, 0)]))
             }
             (Goal::Present, _, None) => (Purpose::Lease, Op::Grant(QUARANTINE_DURATION)),
