--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::snapshot::{Backend, Change, EntryKey, EntryValue, Revision, Way};
+use crate::cluster::snapshot::{Backend, Change, Delivery, EntryKey, EntryValue, Revision};
 use crate::config::{Config, Index};
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
@@ -37,7 +37,7 @@
     pub(crate) fn apply_changes(
         &mut self,
         changes: Vec<Change>,
-        way: Way,
+        way: Delivery,
         recovering: bool,
         out: &mut Effects,
     ) {
@@ -63,12 +63,12 @@
     ) {
         let known: Vec<EntryKey> = self.snapshot.present().map(|c| c.key.clone()).collect();
         let listed: BTreeSet<EntryKey> = changes.iter().map(|c| c.key.clone()).collect();
-        self.apply_changes(changes, Way::Told, false, out);
+        self.apply_changes(changes, Delivery::LatestOnly, false, out);
         for subject in known.into_iter().filter(|s| !listed.contains(s)) {
             match subject {
                 EntryKey::Config | EntryKey::Version(..) => {}
                 EntryKey::Server(server) if self.recovering() => self.lapse(server, out),
-                subject => self.apply(removal(subject, revision), Way::Told, out),
+                subject => self.apply(removal(subject, revision), Delivery::LatestOnly, out),
             }
         }
     }
@@ -101,7 +101,7 @@
     }
 
     /// Takes one change in, unless a newer one of its subject is known.
-    fn apply(&mut self, change: Change, way: Way, out: &mut Effects) {
+    fn apply(&mut self, change: Change, way: Delivery, out: &mut Effects) {
         if change.value == Some(EntryValue::Unreadable) {
             self.note_unreadable(&change.key, out);
             // What the operator wrote stays in force until it writes anew.
--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/follow.rs
@@ -15,7 +15,7 @@
 
 use crate::cluster::membership;
 use crate::cluster::passed_by;
-use crate::cluster::snapshot::{Revision, Way};
+use crate::cluster::snapshot::{Delivery, Revision};
 use crate::effect::{Effect, Effects, Op, OpId, Reach};
 use crate::event::Outcome;
 use crate::message::Message;
@@ -109,7 +109,7 @@
                 self.store_back(self.now, out);
                 self.tell_followers(&changes, revision, out);
                 let recovering = self.recovering();
-                self.apply_changes(changes, Way::Watched, recovering, out);
+                self.apply_changes(changes, Delivery::EveryChange, recovering, out);
                 self.follow.cursor = Some(revision);
                 let gap = if self.watches() { WATCH_GAP } else { ALONE_GAP };
                 self.call_in(gap);
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -16,7 +16,7 @@
 
 use crate::cluster::candidacy::{Candidacy, SETTLED};
 use crate::cluster::lease::{Kept, Terms};
-use crate::cluster::snapshot::{Change, EntryKey, EntryValue, Holder, Way, proposed_change};
+use crate::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Holder, proposed_change};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::Outcome;
 use crate::node::Gateway;
@@ -162,7 +162,7 @@
                 self.leadership_written(&service, revision, out);
             }
             (Purpose::Leadership(_), Outcome::Conflict(changes)) => {
-                self.apply_changes(changes, Way::Told, false, out);
+                self.apply_changes(changes, Delivery::LatestOnly, false, out);
                 // It may be the entry that is gone.
                 self.probe_by_registration(out);
             }
@@ -303,7 +303,7 @@
         );
         change.revision = revision;
         change.created = revision;
-        self.apply_changes(vec![change], Way::Told, false, out);
+        self.apply_changes(vec![change], Delivery::LatestOnly, false, out);
     }
 
     fn lease_lost(&mut self, out: &mut Effects) {
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use crate::cluster::follow::{ALONE_GAP, SILENCE};
-use crate::cluster::snapshot::{Change, Revision, Way};
+use crate::cluster::snapshot::{Change, Delivery, Revision};
 use crate::effect::Effects;
 use crate::message::{Message, Replication};
 use crate::node::Gateway;
@@ -54,7 +54,7 @@
             .changes
             .iter()
             .any(|change| self.snapshot.differs(change));
-        self.apply_changes(batch.changes, Way::Told, batch.recovering, out);
+        self.apply_changes(batch.changes, Delivery::LatestOnly, batch.recovering, out);
         match self.follow.cursor {
             Some(cursor) if cursor >= batch.since && batch.until > cursor => {
                 self.follow.cursor = Some(batch.until);
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -141,11 +141,11 @@
 
 /// How a change came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Delivery {
     /// By this VM's own watch, which shows each change of a subject, one after the other.
-    Watched,
+    EveryChange,
     /// By a list, another VM or a conflict, which may leave earlier changes of the subject out.
-    Told,
+    LatestOnly,
 }
 
 /// All facts known, with the last revision of each subject, also of those that are gone.
@@ -157,12 +157,12 @@
 
 impl Snapshot {
     /// Takes a change in, unless the subject's known one is as new. Says whether it was taken.
-    pub fn apply(&mut self, change: Change, way: Way) -> bool {
+    pub fn apply(&mut self, change: Change, way: Delivery) -> bool {
         match self.rows.get_mut(&change.key) {
             Some(known) if known.change.revision >= change.revision => false,
             Some(known) => {
                 let lapsed = std::mem::take(&mut known.lapsed);
-                if way == Way::Told || lapsed || known.change.value != change.value {
+                if way == Delivery::LatestOnly || lapsed || known.change.value != change.value {
                     known.changed = change.revision;
                 }
                 known.change = change;
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -7,7 +7,7 @@
 
 use super::QUARANTINE_DURATION;
 use crate::cluster::lease::backoff;
-use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, Way, proposed_change};
+use crate::cluster::snapshot::{Delivery, EntryKey, EntryValue, Revision, proposed_change};
 use crate::effect::{Effects, Op, OpId};
 use crate::event::{Lease, Outcome};
 use crate::node::Gateway;
@@ -195,7 +195,7 @@
             }
             (_, Outcome::Conflict(changes)) => {
                 records.pause = now + RETRY;
-                self.apply_changes(changes, Way::Told, false, out);
+                self.apply_changes(changes, Delivery::LatestOnly, false, out);
             }
             (_, outcome) => {
                 if matches!(outcome, Outcome::NoLease) {
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -9,7 +9,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, EntryValue, Snapshot, Way};
+use dahliastile_gateway::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Snapshot};
 use support::World;
 use support::setup::{config, name};
 
@@ -261,7 +261,7 @@
     };
     let mut table = Snapshot::default();
     assert!(table.is_change(&config, 4));
-    assert!(table.apply(config.clone(), Way::Told));
+    assert!(table.apply(config.clone(), Delivery::LatestOnly));
     assert!(
         table.is_change(&config, 4),
         "the followers know all up to 4"
@@ -277,12 +277,12 @@
             value: Some(EntryValue::Server(Arc::new(backend))),
         }
     };
-    assert!(table.apply(entry(6, true), Way::Watched));
+    assert!(table.apply(entry(6, true), Delivery::EveryChange));
     assert!(!table.is_change(&entry(7, true), 6));
     assert!(table.is_change(&entry(7, false), 6));
-    assert!(table.apply(entry(8, true), Way::Told));
+    assert!(table.apply(entry(8, true), Delivery::LatestOnly));
     assert_eq!(table.after(6).count(), 1, "an entry of before may differ");
-    assert!(table.apply(entry(9, true), Way::Watched));
+    assert!(table.apply(entry(9, true), Delivery::EveryChange));
     assert_eq!(table.after(8).count(), 0);
 }
 
@@ -357,7 +357,7 @@
     };
     let mut table = Snapshot::default();
     assert!(table.differs(&entry(5)), "it is not known");
-    assert!(table.apply(entry(5), Way::Told));
+    assert!(table.apply(entry(5), Delivery::LatestOnly));
     assert!(!table.differs(&entry(6)));
     let gone = Change {
         value: None,
