--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -15,7 +15,7 @@
 
 use dahliastile_core::id::{Incarnation, Server, Vm};
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::snapshot::{Backend, Base};
+use dahliastile_gateway::cluster::snapshot::{Backend, ResidentModel};
 use dahliastile_gateway::config::{Application, Engine, Model};
 use dahliastile_gateway::event::{Ordered, Report, RequestId, Work};
 use dahliastile_gateway::feature::Without;
@@ -223,7 +223,7 @@
                 }
                 Some(Next::Reported(server)) => {
                     let report = Report {
-                        models: vec![Base {
+                        models: vec![ResidentModel {
                             model: "base".into(),
                             version: 1,
                             adapters: Vec::new(),
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -44,7 +44,7 @@
 
 /// A base model that a server says it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Base {
+pub struct ResidentModel {
     /// Its name.
     pub model: Arc<str>,
     /// The version of its weights.
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -9,7 +9,7 @@
 
 use crate::account::Tokens;
 use crate::account::key::Key;
-use crate::cluster::snapshot::{Base, Change, Revision};
+use crate::cluster::snapshot::{Change, ResidentModel, Revision};
 use crate::effect::{OpId, OrderId};
 use crate::message::Message;
 use crate::request::fingerprint::Fingerprint;
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The base models and their adapters.
-    pub models: Vec<Base>,
+    pub models: Vec<ResidentModel>,
     /// Adapters on their way to it: base model, adapter, version.
     pub coming: Vec<(Arc<str>, Arc<str>, u64)>,
     /// Whether an order on a base model is in progress.
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -5,7 +5,7 @@
 
 use dahliastile_core::id::{Incarnation, Server};
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::snapshot::{Base, Resident};
+use dahliastile_gateway::cluster::snapshot::{Resident, ResidentModel};
 use dahliastile_gateway::effect::Order;
 use dahliastile_gateway::event::{Ordered, Report};
 
@@ -223,7 +223,7 @@
         };
         let (there, coming): (Vec<_>, Vec<_>) =
             self.slots.iter().partition(|(_, slot)| slot.ready <= now);
-        let base = Base {
+        let base = ResidentModel {
             model: MODEL.into(),
             version: 1,
             adapters: there.into_iter().map(resident).collect(),
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::{Incarnation, Server, Service, Vm, Zone};
 use dahliastile_core::time::Span;
 use dahliastile_gateway::account::Tokens;
-use dahliastile_gateway::cluster::snapshot::{Backend, Base, Resident};
+use dahliastile_gateway::cluster::snapshot::{Backend, Resident, ResidentModel};
 use dahliastile_gateway::config::{
     Application, Config, Engine, Kind, Limits, Model, Route, Target,
 };
@@ -183,7 +183,7 @@
 /// The report of an engine that holds its base model and some adapters of it.
 pub fn report(adapters: Vec<Resident>) -> Report {
     Report {
-        models: vec![Base {
+        models: vec![ResidentModel {
             model: MODEL.into(),
             version: 1,
             adapters,
