--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -10,7 +10,6 @@
 
 pub(crate) mod apply;
 pub(crate) mod candidacy;
-pub(crate) mod follow;
 pub(crate) mod leadership;
 pub(crate) mod lease;
 pub(crate) mod lease_vote;
@@ -20,3 +19,4 @@
 mod relay;
 mod replication;
 pub mod snapshot;
+pub(crate) mod watch;
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -396,7 +396,7 @@
     /// Whether the key-value service has answered no call of this VM lately: neither a watch nor, since one failed, a renewal. A holder
     /// whose renewals get through and whose watches don't would else keep its leadership and not schedule.
     fn is_unreached(&self) -> bool {
-        let away = self.follow.away;
+        let away = self.watch.away;
         away.is_some_and(|since| self.leaderships.renewed() < since)
     }
 
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -4,8 +4,8 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use crate::cluster::follow::{ALONE_GAP, SILENCE};
 use crate::cluster::snapshot::{Change, Delivery, Revision};
+use crate::cluster::watch::{ALONE_GAP, SILENCE};
 use crate::effect::Effects;
 use crate::message::{Message, Replication};
 use crate::node::Gateway;
@@ -26,9 +26,9 @@
     /// A VM wants to be told of changes after a revision.
     pub(crate) fn follow_asked(&mut self, from: &Vm, since: Revision, out: &mut Effects) {
         let until = self.now + SUBSCRIPTION;
-        self.follow.followers.insert(from.clone(), until);
+        self.watch.followers.insert(from.clone(), until);
         let changes: Vec<Change> = self.snapshot.after(since).cloned().collect();
-        let batch = self.batch(since, self.follow.cursor.unwrap_or(since), changes);
+        let batch = self.batch(since, self.watch.cursor.unwrap_or(since), changes);
         self.send(from, Message::Replicate(batch), out);
         if since == 0 {
             self.tell_quarantines(from, out);
@@ -40,30 +40,30 @@
     pub(crate) fn apply_replicated(&mut self, from: &Vm, batch: Replication, out: &mut Effects) {
         let answered = self.now.back(batch.age);
         let stale_at = answered + self.fresh(from);
-        if self.follow.leader.as_ref() == Some(from) {
-            self.follow.heard = self.now;
-            self.follow.patience = SILENCE;
-            self.follow.vouched = answered;
+        if self.watch.leader.as_ref() == Some(from) {
+            self.watch.heard = self.now;
+            self.watch.patience = SILENCE;
+            self.watch.vouched = answered;
             self.timers.set(stale_at, Timer::Follow);
         }
         if self.now < stale_at {
             self.store_answers(answered, from, out);
         }
-        let since = self.follow.cursor;
+        let since = self.watch.cursor;
         let taken = batch
             .changes
             .iter()
             .any(|change| self.snapshot.differs(change));
         self.apply_changes(batch.changes, Delivery::LatestOnly, batch.recovering, out);
-        match self.follow.cursor {
+        match self.watch.cursor {
             Some(cursor) if cursor >= batch.since && batch.until > cursor => {
-                self.follow.cursor = Some(batch.until);
+                self.watch.cursor = Some(batch.until);
             }
             _ => {}
         }
         // Each VM passes a change on once, so that VMs which follow each other don't tell each other again and again, and not for
         // entries that are only newer: with 3,000 servers those would go round without end after a start of all VMs.
-        if let (true, Some(since), Some(until)) = (taken, since, self.follow.cursor) {
+        if let (true, Some(since), Some(until)) = (taken, since, self.watch.cursor) {
             let changes = self.snapshot.after(since).cloned().collect();
             self.pass_on(changes, since, until, out);
         }
@@ -80,12 +80,12 @@
 
     /// Another VM says that the key-value service answered it, or a third one, at a time.
     fn store_answers(&mut self, at: Instant, from: &Vm, out: &mut Effects) {
-        if self.follow.leader.as_ref() == Some(from) {
+        if self.watch.leader.as_ref() == Some(from) {
             self.store_back(at, out);
-        } else if self.follow.away.is_some() && self.follow.op.is_none() {
+        } else if self.watch.away.is_some() && self.watch.op.is_none() {
             let soon = self.now + Span(self.rng.random_range(0..ALONE_GAP.0));
-            if soon < self.follow.next {
-                self.follow.failures = 0;
+            if soon < self.watch.next {
+                self.watch.failures = 0;
                 self.call_in(soon.since(self.now));
             }
         }
@@ -98,7 +98,7 @@
         revision: Revision,
         out: &mut Effects,
     ) {
-        let since = self.follow.cursor.unwrap_or(0);
+        let since = self.watch.cursor.unwrap_or(0);
         let changes = self.snapshot.changes_among(changes, since);
         self.pass_on(changes, since, revision, out);
     }
@@ -112,12 +112,12 @@
         out: &mut Effects,
     ) {
         let now = self.now;
-        self.follow.followers.retain(|_, until| *until > now);
-        if changes.is_empty() || self.follow.followers.is_empty() {
+        self.watch.followers.retain(|_, until| *until > now);
+        if changes.is_empty() || self.watch.followers.is_empty() {
             return;
         }
         let batch = self.batch(since, until, changes);
-        let followers: Vec<Vm> = self.follow.followers.keys().cloned().collect();
+        let followers: Vec<Vm> = self.watch.followers.keys().cloned().collect();
         for vm in followers {
             self.send(&vm, Message::Replicate(batch.clone()), out);
         }
--- a/crates/gateway/src/cluster/follow.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -92,32 +92,32 @@
 
 impl Gateway {
     pub(crate) fn follow_start(&mut self, out: &mut Effects) {
-        self.follow.op = Some(self.store(Op::List, out));
+        self.watch.op = Some(self.store(Op::List, out));
     }
 
     /// The call in progress came back.
     pub(crate) fn followed(&mut self, outcome: Outcome, out: &mut Effects) {
-        self.follow.op = None;
+        self.watch.op = None;
         match outcome {
             Outcome::Listed(changes, revision) => {
                 self.store_back(self.now, out);
                 self.apply_list(changes, revision, out);
-                self.follow.cursor = Some(revision);
-                self.watch(out);
+                self.watch.cursor = Some(revision);
+                self.continue_watching(out);
             }
             Outcome::Watched(changes, revision) => {
                 self.store_back(self.now, out);
                 self.tell_followers(&changes, revision, out);
                 let recovering = self.recovering();
                 self.apply_changes(changes, Delivery::EveryChange, recovering, out);
-                self.follow.cursor = Some(revision);
+                self.watch.cursor = Some(revision);
                 let gap = if self.watches() { WATCH_GAP } else { ALONE_GAP };
                 self.call_in(gap);
             }
             Outcome::Compacted => {
-                self.follow.cursor = None;
+                self.watch.cursor = None;
                 Self::log(out, Code::StoreCompacted, "next=list".to_owned());
-                self.follow.op = Some(self.store(Op::List, out));
+                self.watch.op = Some(self.store(Op::List, out));
             }
             other => self.store_away(&other, out),
         }
@@ -125,9 +125,11 @@
 
     pub(crate) fn follow_due(&mut self, out: &mut Effects) {
         self.drop_lapsed(out);
-        match self.follow.leader {
+        match self.watch.leader {
             Some(_) => self.keep_following(out),
-            None if self.follow.op.is_none() && self.now >= self.follow.next => self.watch(out),
+            None if self.watch.op.is_none() && self.now >= self.watch.next => {
+                self.continue_watching(out)
+            }
             None => {}
         }
         self.ask_peers(out);
@@ -136,57 +138,57 @@
     /// Whether entries may be missing only because the key-value service was away.
     pub(crate) fn recovering(&self) -> bool {
         let grace = self.settings.tuning.lapse_grace;
-        let back = self.follow.back;
-        self.follow.away.is_some() || back.is_some_and(|at| self.now.since(at) < grace)
+        let back = self.watch.back;
+        self.watch.away.is_some() || back.is_some_and(|at| self.now.since(at) < grace)
     }
 
     /// How long ago the key-value service last answered this VM, or one that told it so.
     pub(crate) fn word_age(&self) -> Span {
-        self.now.since(self.follow.answered)
+        self.now.since(self.watch.answered)
     }
 
     /// Goes on: watches, or follows a VM that does.
-    fn watch(&mut self, out: &mut Effects) {
-        let leader = self.leader().filter(|_| self.follow.cursor.is_some());
-        if let Some(leader) = leader.filter(|_| self.now >= self.follow.alone) {
+    fn continue_watching(&mut self, out: &mut Effects) {
+        let leader = self.leader().filter(|_| self.watch.cursor.is_some());
+        if let Some(leader) = leader.filter(|_| self.now >= self.watch.alone) {
             Self::log(out, Code::Following, format!("vm={leader}"));
-            self.follow.leader = Some(leader);
-            self.follow.begun = self.now;
-            self.follow.vouched = Instant::default();
-            self.follow.heard = self.now;
-            self.follow.patience = if self.passes_by() {
+            self.watch.leader = Some(leader);
+            self.watch.begun = self.now;
+            self.watch.vouched = Instant::default();
+            self.watch.heard = self.now;
+            self.watch.patience = if self.passes_by() {
                 SECOND_SILENCE
             } else {
                 SILENCE
             };
-            let silent = self.now + self.follow.patience;
+            let silent = self.now + self.watch.patience;
             self.timers.set(silent, Timer::Follow);
-            self.follow.ask = self.now;
+            self.watch.ask = self.now;
             self.keep_following(out);
             return;
         }
         let wait = self.settings.tuning.watch;
-        let op = match self.follow.cursor {
+        let op = match self.watch.cursor {
             Some(revision) => Op::Watch(revision, wait),
             None => Op::List,
         };
-        self.follow.op = Some(self.store(op, out));
+        self.watch.op = Some(self.store(op, out));
     }
 
     /// Whether a VM was silent a moment ago.
     fn is_passed(&self, vm: &Vm) -> bool {
-        self.follow.passed.contains(vm, self.now)
+        self.watch.passed.contains(vm, self.now)
     }
 
     /// Whether any VM was.
     fn passes_by(&self) -> bool {
-        !self.follow.passed.is_empty(self.now)
+        !self.watch.passed.is_empty(self.now)
     }
 
     /// Passes a VM by for a while.
     fn pass_by(&mut self, vm: Vm) {
         let until = self.now + ALONE;
-        self.follow.passed.add(vm, self.now, until);
+        self.watch.passed.add(vm, self.now, until);
     }
 
     /// The VM that this one follows: the one that tells its availability zone, or, where that is this one, one of those that watch for
@@ -212,79 +214,79 @@
     /// as it says so; one that tells the zone may just be finding out, and has a moment.
     fn is_stale(&self, leader: &Vm) -> bool {
         let told = if self.watchers().contains(&leader) {
-            self.follow.heard > self.follow.begun
+            self.watch.heard > self.watch.begun
         } else {
-            self.now.since(self.follow.begun) >= SECOND_SILENCE
+            self.now.since(self.watch.begun) >= SECOND_SILENCE
         };
         // Whoever has heard of an answer by another way, as by its own list at its start, waits so long for the one that it follows: after
         // a start of all VMs those that come first would else each watch alone, and be sent all that servers rewrite.
-        let last = self.follow.vouched.max(self.follow.answered);
+        let last = self.watch.vouched.max(self.watch.answered);
         told && self.now >= last + self.fresh(leader)
     }
 
     /// Asks the VM that is followed again, unless it is silent, the key-value service has not answered it for long, or this VM's
     /// turn has changed.
     fn keep_following(&mut self, out: &mut Effects) {
-        let quiet = self.now.since(self.follow.heard) >= self.follow.patience;
+        let quiet = self.now.since(self.watch.heard) >= self.watch.patience;
         let stale = self
-            .follow
+            .watch
             .leader
             .as_ref()
             .is_some_and(|vm| self.is_stale(vm));
-        if quiet || stale || self.leader() != self.follow.leader {
-            let leader = self.follow.leader.take();
+        if quiet || stale || self.leader() != self.watch.leader {
+            let leader = self.watch.leader.take();
             let detail = format!("vm={leader:?} silent={quiet} stale={stale}");
             Self::log(out, Code::FollowingEnded, detail);
             if let Some(leader) = leader.filter(|_| quiet || stale) {
                 // One that watches for all and says that it gets no answers costs no time: others are asked as well.
                 let second = self.passes_by() && (quiet || !self.watchers().contains(&&leader));
                 if second {
-                    self.follow.alone = self.now + ALONE;
+                    self.watch.alone = self.now + ALONE;
                 }
                 self.pass_by(leader);
             }
-            self.watch(out);
+            self.continue_watching(out);
             return;
         }
-        if self.now >= self.follow.ask {
-            self.follow.ask = self.now + ASK_EVERY;
-            self.timers.set(self.follow.ask, Timer::Follow);
-            if let Some(leader) = self.follow.leader.clone() {
-                let revision = self.follow.cursor.unwrap_or(0);
+        if self.now >= self.watch.ask {
+            self.watch.ask = self.now + ASK_EVERY;
+            self.timers.set(self.watch.ask, Timer::Follow);
+            if let Some(leader) = self.watch.leader.clone() {
+                let revision = self.watch.cursor.unwrap_or(0);
                 self.send(&leader, Message::Follow(self.member(), revision), out);
             }
         }
     }
 
     fn store_away(&mut self, outcome: &Outcome, out: &mut Effects) {
-        if self.follow.away.is_none() {
-            self.follow.away = Some(self.now);
-            self.follow.ask = self.now + ASK_PEERS_AFTER;
-            self.timers.set(self.follow.ask, Timer::Follow);
+        if self.watch.away.is_none() {
+            self.watch.away = Some(self.now);
+            self.watch.ask = self.now + ASK_PEERS_AFTER;
+            self.timers.set(self.watch.ask, Timer::Follow);
             Self::log(out, Code::PlatformLost, format!("answer={outcome:?}"));
         }
         let pause = if self.watches() {
             self.settings.tuning.store_retry
         } else {
-            let least = ALONE_GAP.times(1 << self.follow.failures.min(DOUBLINGS));
+            let least = ALONE_GAP.times(1 << self.watch.failures.min(DOUBLINGS));
             Span(self.rng.random_range(least.0..least.times(2).0))
         };
-        self.follow.failures += 1;
+        self.watch.failures += 1;
         self.call_in(pause);
     }
 
     /// Has the next call of the key-value service come after a pause.
     pub(crate) fn call_in(&mut self, pause: Span) {
-        self.follow.next = self.now + pause;
-        self.timers.set(self.follow.next, Timer::Follow);
+        self.watch.next = self.now + pause;
+        self.timers.set(self.watch.next, Timer::Follow);
     }
 
     /// The key-value service answered this VM, or the one that it follows, at a time.
     pub(crate) fn store_back(&mut self, at: Instant, out: &mut Effects) {
-        self.follow.answered = self.follow.answered.max(at);
-        self.follow.failures = 0;
-        if let Some(since) = self.follow.away.take() {
-            self.follow.back = Some(self.now);
+        self.watch.answered = self.watch.answered.max(at);
+        self.watch.failures = 0;
+        if let Some(since) = self.watch.away.take() {
+            self.watch.back = Some(self.now);
             let away = self.now.since(since);
             Self::log(out, Code::PlatformBack, format!("away={away}"));
             self.registration_back();
@@ -292,10 +294,10 @@
     }
 
     fn ask_peers(&mut self, out: &mut Effects) {
-        if self.follow.away.is_none() || self.now < self.follow.ask {
+        if self.watch.away.is_none() || self.now < self.watch.ask {
             return;
         }
-        let question = Message::Follow(self.member(), self.follow.cursor.unwrap_or(0));
+        let question = Message::Follow(self.member(), self.watch.cursor.unwrap_or(0));
         let peers: Vec<Vm> = self.peers().cloned().collect();
         if peers.is_empty() {
             self.ask_a_seed(question, out);
@@ -303,8 +305,8 @@
             let peer = &peers[self.rng.random_range(0..peers.len())];
             self.send(peer, question, out);
         }
-        self.follow.ask = self.now + ASK_EVERY;
-        self.timers.set(self.follow.ask, Timer::Follow);
+        self.watch.ask = self.now + ASK_EVERY;
+        self.timers.set(self.watch.ask, Timer::Follow);
     }
 
     /// Asks one of the VMs that the settings name: nobody was ever heard of, and they may be there.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -13,12 +13,12 @@
 
 use crate::account::quota;
 use crate::cluster::apply;
-use crate::cluster::follow;
 use crate::cluster::leadership;
 use crate::cluster::lease_vote;
 use crate::cluster::membership::Membership;
 use crate::cluster::registration;
 use crate::cluster::snapshot::{Member, Snapshot};
+use crate::cluster::watch;
 use crate::config::startup_queue;
 use crate::config::{Config, Index, Limits};
 use crate::effect::{Effect, Effects, Op, OpId, Reach};
@@ -72,7 +72,7 @@
     /// Lease votes given and had.
     pub(crate) votes: lease_vote::State,
     /// How the key-value service is followed.
-    pub(crate) follow: follow::State,
+    pub(crate) watch: watch::State,
     /// What is noted beside the facts.
     pub(crate) applied: apply::State,
     /// Requests that crash servers.
@@ -111,7 +111,7 @@
             registration: registration::State::default(),
             leaderships: leadership::State::default(),
             votes: lease_vote::State::default(),
-            follow: follow::State::default(),
+            watch: watch::State::default(),
             applied: apply::State::default(),
             quarantine: quarantine::State::default(),
             quota: quota::State::default(),
@@ -294,7 +294,7 @@
     }
 
     fn answered(&mut self, op: OpId, outcome: crate::event::Outcome, out: &mut Effects) {
-        if self.follow.op == Some(op) {
+        if self.watch.op == Some(op) {
             self.followed(outcome, out);
         } else if self.registration.owns(op) {
             self.registration_answered(op, outcome, out);
