--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -91,7 +91,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn follow_start(&mut self, out: &mut Effects) {
+    pub(crate) fn start_watching(&mut self, out: &mut Effects) {
         self.watch.op = Some(self.store(Op::List, out));
     }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -288,7 +288,7 @@
     fn start(&mut self, out: &mut Effects) {
         self.startup_queue_start();
         self.quota_start();
-        self.follow_start(out);
+        self.start_watching(out);
         self.leadership_start();
         self.registration_due(out);
     }
