--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    pub(crate) fn follow_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_watch_timer(&mut self, out: &mut Effects) {
         self.drop_lapsed(out);
         match self.watch.leader {
             Some(_) => self.keep_following(out),
