--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -96,7 +96,7 @@
     }
 
     /// The call in progress came back.
-    pub(crate) fn followed(&mut self, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_watch_outcome(&mut self, outcome: Outcome, out: &mut Effects) {
         self.watch.op = None;
         match outcome {
             Outcome::Listed(changes, revision) => {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -295,7 +295,7 @@
 
     fn answered(&mut self, op: OpId, outcome: crate::event::Outcome, out: &mut Effects) {
         if self.watch.op == Some(op) {
-            self.followed(outcome, out);
+            self.handle_watch_outcome(outcome, out);
         } else if self.registration.owns(op) {
             self.registration_answered(op, outcome, out);
         } else if self.quarantine.owns(op) {
