--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -24,7 +24,7 @@
 
 impl Gateway {
     /// A VM wants to be told of changes after a revision.
-    pub(crate) fn follow_asked(&mut self, from: &Vm, since: Revision, out: &mut Effects) {
+    pub(crate) fn handle_subscribe(&mut self, from: &Vm, since: Revision, out: &mut Effects) {
         let until = self.now + SUBSCRIPTION;
         self.watch.followers.insert(from.clone(), until);
         let changes: Vec<Change> = self.snapshot.after(since).cloned().collect();
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -310,7 +310,7 @@
         match message {
             Message::Follow(member, revision) => {
                 self.membership.introduced(from, &member);
-                self.follow_asked(from, revision, out);
+                self.handle_subscribe(from, revision, out);
             }
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
             Message::Want(service, want) => self.handle_placement_request(&service, from, want),
