--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -150,7 +150,7 @@
         match account {
             Some(account) => Ok(Some(account.clone())),
             None if route.public || !accounts.required => Ok(None),
-            None if self.word_age() <= CERTAIN => Err(Reason::UnknownKey),
+            None if self.store_answer_age() <= CERTAIN => Err(Reason::UnknownKey),
             None => Err(Reason::UnconfirmedKey),
         }
     }
@@ -168,7 +168,7 @@
             _ => ("key_unknown", None),
         };
         let key = call.key.map_or("none".to_owned(), |key| key.to_string());
-        let (version, age) = (self.version(), self.word_age());
+        let (version, age) = (self.version(), self.store_answer_age());
         let detail = format!(
             "id={} why={why} key={key} config={version} word_age={age}",
             call.id
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -127,7 +127,7 @@
         Replication {
             since,
             until,
-            age: self.word_age(),
+            age: self.store_answer_age(),
             recovering: self.recovering(),
             changes,
         }
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -143,7 +143,7 @@
     }
 
     /// How long ago the key-value service last answered this VM, or one that told it so.
-    pub(crate) fn word_age(&self) -> Span {
+    pub(crate) fn store_answer_age(&self) -> Span {
         self.now.since(self.watch.answered)
     }
 
