--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -82,7 +82,7 @@
         );
         self.snapshot.lapse(&EntryKey::Server(server.clone()));
         self.applied.lapsed.entry(server).or_insert(until);
-        self.timers.set(until, Timer::Follow);
+        self.timers.set(until, Timer::Watch);
     }
 
     pub(crate) fn drop_lapsed(&mut self, out: &mut Effects) {
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -44,7 +44,7 @@
             self.watch.heard = self.now;
             self.watch.patience = SILENCE;
             self.watch.vouched = answered;
-            self.timers.set(stale_at, Timer::Follow);
+            self.timers.set(stale_at, Timer::Watch);
         }
         if self.now < stale_at {
             self.store_answers(answered, from, out);
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -162,7 +162,7 @@
                 SILENCE
             };
             let silent = self.now + self.watch.patience;
-            self.timers.set(silent, Timer::Follow);
+            self.timers.set(silent, Timer::Watch);
             self.watch.ask = self.now;
             self.keep_following(out);
             return;
@@ -250,7 +250,7 @@
         }
         if self.now >= self.watch.ask {
             self.watch.ask = self.now + ASK_EVERY;
-            self.timers.set(self.watch.ask, Timer::Follow);
+            self.timers.set(self.watch.ask, Timer::Watch);
             if let Some(leader) = self.watch.leader.clone() {
                 let revision = self.watch.cursor.unwrap_or(0);
                 self.send(&leader, Message::Follow(self.member(), revision), out);
@@ -262,7 +262,7 @@
         if self.watch.away.is_none() {
             self.watch.away = Some(self.now);
             self.watch.ask = self.now + ASK_PEERS_AFTER;
-            self.timers.set(self.watch.ask, Timer::Follow);
+            self.timers.set(self.watch.ask, Timer::Watch);
             Self::log(out, Code::PlatformLost, format!("answer={outcome:?}"));
         }
         let pause = if self.watches() {
@@ -278,7 +278,7 @@
     /// Has the next call of the key-value service come after a pause.
     pub(crate) fn call_in(&mut self, pause: Span) {
         self.watch.next = self.now + pause;
-        self.timers.set(self.watch.next, Timer::Follow);
+        self.timers.set(self.watch.next, Timer::Watch);
     }
 
     /// The key-value service answered this VM, or the one that it follows, at a time.
@@ -306,7 +306,7 @@
             self.send(peer, question, out);
         }
         self.watch.ask = self.now + ASK_EVERY;
-        self.timers.set(self.watch.ask, Timer::Follow);
+        self.timers.set(self.watch.ask, Timer::Watch);
     }
 
     /// Asks one of the VMs that the settings name: nobody was ever heard of, and they may be there.
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -18,7 +18,7 @@
     /// The leaderships and their lease.
     Leadership,
     /// The key-value service.
-    Follow,
+    Watch,
     /// The requests that came before the first configuration.
     StartupQueue,
     /// The records of requests in quarantine.
