--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -253,7 +253,7 @@
             self.timers.set(self.watch.ask, Timer::Watch);
             if let Some(leader) = self.watch.leader.clone() {
                 let revision = self.watch.cursor.unwrap_or(0);
-                self.send(&leader, Message::Follow(self.member(), revision), out);
+                self.send(&leader, Message::Subscribe(self.member(), revision), out);
             }
         }
     }
@@ -297,7 +297,7 @@
         if self.watch.away.is_none() || self.now < self.watch.ask {
             return;
         }
-        let question = Message::Follow(self.member(), self.watch.cursor.unwrap_or(0));
+        let question = Message::Subscribe(self.member(), self.watch.cursor.unwrap_or(0));
         let peers: Vec<Vm> = self.peers().cloned().collect();
         if peers.is_empty() {
             self.ask_a_seed(question, out);
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -107,7 +107,7 @@
     LeaseVote(Service, u64, Instant),
     /// This VM, which is there, knows all changes of the key-value service up to the revision, and wants to be told of
     /// later ones for a while.
-    Follow(Member, Revision),
+    Subscribe(Member, Revision),
     /// Changes of the key-value service.
     Replicate(Replication),
     /// To a VM that counts them: servers ended while they had these requests.
@@ -149,7 +149,7 @@
             Self::Alive(..) => "alive",
             Self::RequestLeaseVote(..) => "request_lease_vote",
             Self::LeaseVote(..) => "lease_vote",
-            Self::Follow(..) => "follow",
+            Self::Subscribe(..) => "follow",
             Self::Replicate(_) => "replicate",
             Self::CrashReports(_) => "struck",
             Self::QuarantineStatuses(_) => "standings",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -308,7 +308,7 @@
     fn heard(&mut self, from: &Vm, message: Message, out: &mut Effects) {
         self.membership.heard(from, self.now);
         match message {
-            Message::Follow(member, revision) => {
+            Message::Subscribe(member, revision) => {
                 self.membership.introduced(from, &member);
                 self.handle_subscribe(from, revision, out);
             }
