--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -24,7 +24,7 @@
 use self::bucket::{Bucket, Terms};
 use self::pool::Pools;
 use super::{Limit, Tokens};
-use crate::cluster::passed_by;
+use crate::cluster::exclusion;
 use crate::effect::Effects;
 use crate::event::RequestId;
 use crate::node::Gateway;
@@ -122,7 +122,7 @@
     /// What it lends to others.
     pools: Pools,
     /// VMs that kept the pool and did not answer.
-    passed: passed_by::List,
+    passed: exclusion::Exclusions,
     /// The number of VMs, and when it was found.
     fleet: Option<(usize, Instant)>,
     /// When this VM started.
--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -10,11 +10,11 @@
 
 pub(crate) mod apply;
 pub(crate) mod candidacy;
+pub(crate) mod exclusion;
 pub(crate) mod leadership;
 pub(crate) mod lease;
 pub(crate) mod lease_vote;
 pub(crate) mod membership;
-pub(crate) mod passed_by;
 pub(crate) mod registration;
 mod relay;
 mod replication;
--- a/crates/gateway/src/cluster/passed_by.rs
+++ b/crates/gateway/src/cluster/exclusion.rs
@@ -5,9 +5,9 @@
 
 /// The VMs, each with until when it is passed by.
 #[derive(Debug, Default)]
-pub(crate) struct List(Vec<(Vm, Instant)>);
+pub(crate) struct Exclusions(Vec<(Vm, Instant)>);
 
-impl List {
+impl Exclusions {
     /// Passes a VM by until a time.
     pub(crate) fn add(&mut self, vm: Vm, now: Instant, until: Instant) {
         self.0.retain(|(_, until)| *until > now);
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -13,8 +13,8 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
+use crate::cluster::exclusion;
 use crate::cluster::membership;
-use crate::cluster::passed_by;
 use crate::cluster::snapshot::{Delivery, Revision};
 use crate::effect::{Effect, Effects, Op, OpId, Reach};
 use crate::event::Outcome;
@@ -81,7 +81,7 @@
     /// When the key-value service last answered it, by its own word.
     pub(crate) vouched: Instant,
     /// Those that were silent or could not reach the key-value service, and until when each is not followed again.
-    pub(crate) passed: passed_by::List,
+    pub(crate) passed: exclusion::Exclusions,
     /// Until when this VM watches by itself whatever its turn.
     pub(crate) alone: Instant,
     /// When the VM that is followed, or peers, are asked next.
