--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -69,7 +69,7 @@
 
     /// Tells all other VMs what engines hold: those of this VM's availability zone, and one of each other zone for its zone. Bytes
     /// between zones cost the most of what the fleet says to itself; so one message crosses each border for a digest, whatever the number of VMs.
-    pub(crate) fn tell_residents(
+    pub(crate) fn broadcast_residents(
         &self,
         service: &Service,
         fence: u64,
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -74,7 +74,7 @@
             Decision::QueryReport(server, address) => out.push(Effect::Report(server, address)),
             Decision::Residents(residents) => {
                 self.record_residents(service, residents.clone());
-                self.tell_residents(service, fence, residents, out);
+                self.broadcast_residents(service, fence, residents, out);
             }
             Decision::Heartbeat => self.broadcast(&Message::Alive(service.clone(), fence), out),
             Decision::Log(record) => out.push(Effect::Log(record)),
