--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -84,7 +84,7 @@
     }
 
     /// Passes what the scheduler told of engines on, where this VM tells its availability zone.
-    pub(crate) fn pass_residents(
+    pub(crate) fn relay_residents(
         &self,
         service: &Service,
         fence: u64,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -345,7 +345,7 @@
             }
             Message::Residents(service, fence, residents) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
-                    self.pass_residents(&service, fence, &residents, out);
+                    self.relay_residents(&service, fence, &residents, out);
                     self.record_residents(&service, residents);
                 }
             }
