--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -187,7 +187,7 @@
     }
 
     /// This VM holds a leadership.
-    pub(crate) fn leadership_won(&mut self, service: &Service, fence: u64, out: &mut Effects) {
+    pub(crate) fn start_scheduler(&mut self, service: &Service, fence: u64, out: &mut Effects) {
         let Some(application) = self.index.service(service.as_str()).cloned() else {
             return;
         };
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -170,7 +170,7 @@
             format!("service={service} vm={} fence={fence}", holder.vm),
         );
         if *holder == self.as_holder() {
-            self.leadership_won(service, fence, out);
+            self.start_scheduler(service, fence, out);
         } else {
             self.leaderships.end_wait(service);
             self.leadership_lost(service, out);
