--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -209,7 +209,7 @@
             return;
         }
         for service in strained {
-            self.leadership_lost(&service, out);
+            self.stop_scheduler(&service, out);
             self.resign(&service, out);
         }
     }
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -227,7 +227,7 @@
     }
 
     /// Another VM holds a leadership, or nobody does.
-    pub(crate) fn leadership_lost(&mut self, service: &Service, out: &mut Effects) {
+    pub(crate) fn stop_scheduler(&mut self, service: &Service, out: &mut Effects) {
         if self.schedulers.remove(service).is_some() {
             self.leaderships.note_loss(service, self.now);
             Self::log(out, Code::LeaseLost, format!("service={service}"));
@@ -245,7 +245,7 @@
             Code::Fenced,
             format!("service={service} fence={fence}"),
         );
-        self.leadership_lost(service, out);
+        self.stop_scheduler(service, out);
         let known = self.snapshot.get(&EntryKey::Holder(service.clone()));
         if known.is_some_and(|change| change.revision == fence) {
             self.resign(service, out);
@@ -256,7 +256,7 @@
     pub(crate) fn resign_all(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.schedulers.keys().cloned().collect();
         for service in services {
-            self.leadership_lost(&service, out);
+            self.stop_scheduler(&service, out);
             self.resign(&service, out);
             if let Some(client) = self.scheduler_clients.get_mut(&service) {
                 client.holder = None;
@@ -327,7 +327,7 @@
         for service in services {
             let voted = self.voted_until(&service);
             match sure.max(voted) {
-                last if self.now >= last => self.leadership_lost(&service, out),
+                last if self.now >= last => self.stop_scheduler(&service, out),
                 last => self.timers.set_once(last, Timer::Leadership),
             }
             let alone = self.now >= sure && self.now < voted;
@@ -349,7 +349,7 @@
     fn lose_leaderships(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.schedulers.keys().cloned().collect();
         for service in services {
-            self.leadership_lost(&service, out);
+            self.stop_scheduler(&service, out);
         }
     }
 
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -173,7 +173,7 @@
             self.start_scheduler(service, fence, out);
         } else {
             self.leaderships.end_wait(service);
-            self.leadership_lost(service, out);
+            self.stop_scheduler(service, out);
             self.introduce(service, out);
             self.leaderships_changed(out);
         }
@@ -189,7 +189,7 @@
             format!("service={service} fence={} was={old:?}", client.fence),
         );
         if old.as_ref() == Some(&self.settings.vm) {
-            self.leadership_lost(service, out);
+            self.stop_scheduler(service, out);
         }
         self.go_alone(service, out);
         self.leaderships_changed(out);
@@ -227,7 +227,7 @@
                 Code::HolderNamed,
                 format!("service={service} vm={from} fence={fence} by=peer"),
             );
-            self.leadership_lost(service, out);
+            self.stop_scheduler(service, out);
             self.introduce(service, out);
         }
         true
