--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -176,7 +176,7 @@
         );
         self.config = Some(config);
         self.limits_changed(out);
-        self.leaderships_changed(out);
+        self.update_candidacies(out);
     }
 
     /// Takes a server's entry in. Where any server tells its start all do, so that one that does not is another program's.
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -78,7 +78,7 @@
     }
 
     /// The configuration, a holder or what is known of it changed.
-    pub(crate) fn leaderships_changed(&mut self, out: &mut Effects) {
+    pub(crate) fn update_candidacies(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.index.engines().map(|s| s.name.clone()).collect();
         for service in services {
             let vacancy = self.vacancy(&service);
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -156,7 +156,7 @@
             }
             (Purpose::Lease, Outcome::Renewed(_)) => {
                 self.leaderships.lease.was_renewed(sent, terms);
-                self.leaderships_changed(out);
+                self.update_candidacies(out);
             }
             (Purpose::Leadership(service), Outcome::Written(revision)) => {
                 self.leadership_written(&service, revision, out);
@@ -180,7 +180,7 @@
         self.leave_to_stronger(out);
         self.keep_lease(out);
         if self.lacks_candidacy() {
-            self.leaderships_changed(out);
+            self.update_candidacies(out);
         } else {
             self.take_leaderships(out);
         }
@@ -360,7 +360,7 @@
                 self.set_candidacy(service, Candidacy::Take(self.now), out);
             }
         }
-        self.leaderships_changed(out);
+        self.update_candidacies(out);
     }
 
     /// Whether the lease is wanted: a leadership is held or to be taken, or may yet be written by a call that had no answer.
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -116,7 +116,7 @@
                 self.registration.lease.was_granted(now, sent, id, terms);
                 self.registration.written = None;
                 self.register(out);
-                self.leaderships_changed(out);
+                self.update_candidacies(out);
             }
             (Purpose::Lease, Outcome::Renewed(_)) => {
                 self.registration.lease.was_renewed(sent, terms);
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -175,7 +175,7 @@
             self.leaderships.end_wait(service);
             self.stop_scheduler(service, out);
             self.introduce(service, out);
-            self.leaderships_changed(out);
+            self.update_candidacies(out);
         }
     }
 
@@ -192,7 +192,7 @@
             self.stop_scheduler(service, out);
         }
         self.go_alone(service, out);
-        self.leaderships_changed(out);
+        self.update_candidacies(out);
     }
 
     /// Whether a message of a scheduler counts: it does unless a newer one is known.
@@ -363,7 +363,7 @@
         self.go_alone(service, out);
         let settled = self.leaderships.changed(service) + SETTLED;
         self.timers.set(settled, Timer::Leadership);
-        self.leaderships_changed(out);
+        self.update_candidacies(out);
     }
 
     /// Places what waits without the scheduler, as far as its adapters are resident.
