--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -126,7 +126,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn leadership_start(&mut self) {
+    pub(crate) fn start_candidacy_delay(&mut self) {
         self.leaderships.meets = self.now + MEETING;
     }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -289,7 +289,7 @@
         self.startup_queue_start();
         self.quota_start();
         self.start_watching(out);
-        self.leadership_start();
+        self.start_candidacy_delay();
         self.registration_due(out);
     }
 
