--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -173,7 +173,7 @@
         self.keep_lease(out);
     }
 
-    pub(crate) fn leadership_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_leadership_timer(&mut self, out: &mut Effects) {
         self.check_holder_timeouts(out);
         self.request_votes(out);
         self.stop_in_time(out);
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -403,7 +403,7 @@
             match timer {
                 Timer::Request(request) => self.handle_request_timer(request, out),
                 Timer::Registration => self.registration_due(out),
-                Timer::Leadership => self.leadership_due(out),
+                Timer::Leadership => self.handle_leadership_timer(out),
                 Timer::Watch => self.handle_watch_timer(out),
                 Timer::StartupQueue => self.handle_startup_queue_timer(out),
                 Timer::Quarantine => self.handle_quarantine_timer(out),
