--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -141,7 +141,12 @@
     }
 
     /// A call on the lease or a leadership came back.
-    pub(crate) fn leadership_answered(&mut self, op: OpId, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_leadership_outcome(
+        &mut self,
+        op: OpId,
+        outcome: Outcome,
+        out: &mut Effects,
+    ) {
         let Some((purpose, sent)) = self.leaderships.calls.remove(&op) else {
             return;
         };
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -301,7 +301,7 @@
         } else if self.quarantine.owns(op) {
             self.handle_quarantine_outcome(outcome, out);
         } else {
-            self.leadership_answered(op, outcome, out);
+            self.handle_leadership_outcome(op, outcome, out);
         }
     }
 
