--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -87,7 +87,7 @@
     }
 
     /// Calls on the entry, where one is due.
-    pub(crate) fn registration_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_registration_timer(&mut self, out: &mut Effects) {
         if self.stopping {
             return;
         }
@@ -138,7 +138,7 @@
             (Purpose::Write, _) => self.registration.lease.expedite(now, RETRY, &mut self.rng),
             (Purpose::End, _) => {}
         }
-        self.registration_due(out);
+        self.handle_registration_timer(out);
     }
 
     /// The key-value service answers again: what failed meanwhile is tried again.
@@ -161,7 +161,7 @@
         self.registration
             .lease
             .expedite(self.now, Span::ZERO, &mut self.rng);
-        self.registration_due(out);
+        self.handle_registration_timer(out);
     }
 
     /// Takes the entry away, for a graceful stop: nobody has to wait for the end of its lease.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -290,7 +290,7 @@
         self.quota_start();
         self.start_watching(out);
         self.start_candidacy_delay();
-        self.registration_due(out);
+        self.handle_registration_timer(out);
     }
 
     fn answered(&mut self, op: OpId, outcome: crate::event::Outcome, out: &mut Effects) {
@@ -402,7 +402,7 @@
         while let Some(timer) = self.timers.due(self.now) {
             match timer {
                 Timer::Request(request) => self.handle_request_timer(request, out),
-                Timer::Registration => self.registration_due(out),
+                Timer::Registration => self.handle_registration_timer(out),
                 Timer::Leadership => self.handle_leadership_timer(out),
                 Timer::Watch => self.handle_watch_timer(out),
                 Timer::StartupQueue => self.handle_startup_queue_timer(out),
