--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -106,7 +106,12 @@
     }
 
     /// A call on the entry came back.
-    pub(crate) fn registration_answered(&mut self, op: OpId, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_registration_outcome(
+        &mut self,
+        op: OpId,
+        outcome: Outcome,
+        out: &mut Effects,
+    ) {
         let Some((purpose, sent)) = self.registration.calls.remove(&op) else {
             return;
         };
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -297,7 +297,7 @@
         if self.watch.op == Some(op) {
             self.handle_watch_outcome(outcome, out);
         } else if self.registration.owns(op) {
-            self.registration_answered(op, outcome, out);
+            self.handle_registration_outcome(op, outcome, out);
         } else if self.quarantine.owns(op) {
             self.handle_quarantine_outcome(outcome, out);
         } else {
