--- a/crates/gateway/src/cluster/lease_vote.rs
+++ b/crates/gateway/src/cluster/lease_vote.rs
@@ -91,7 +91,7 @@
     }
 
     /// The holder of a leadership asks for a vote. It came from the one that this VM takes for the holder.
-    pub(crate) fn vote_requested(
+    pub(crate) fn handle_vote_request(
         &mut self,
         service: &Service,
         fence: u64,
@@ -116,7 +116,7 @@
     }
 
     /// A VM has given the vote that this one asked for at a time.
-    pub(crate) fn voted(&mut self, service: &Service, fence: u64, asked: Instant, from: &Vm) {
+    pub(crate) fn handle_vote(&mut self, service: &Service, fence: u64, asked: Instant, from: &Vm) {
         let holds = self
             .schedulers
             .get(service)
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -337,11 +337,11 @@
             }
             Message::RequestLeaseVote(service, fence, asked) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
-                    self.vote_requested(&service, fence, asked, from, out);
+                    self.handle_vote_request(&service, fence, asked, from, out);
                 }
             }
             Message::LeaseVote(service, fence, asked) => {
-                self.voted(&service, fence, asked, from);
+                self.handle_vote(&service, fence, asked, from);
             }
             Message::Residents(service, fence, residents) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
