--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -240,7 +240,7 @@
     }
 
     /// A server has seen a higher fencing number than that of this VM's leadership.
-    pub(crate) fn fenced_off(&mut self, service: &Service, out: &mut Effects) {
+    pub(crate) fn handle_fenced_order(&mut self, service: &Service, out: &mut Effects) {
         let Some(scheduler) = self.schedulers.get(service) else {
             return;
         };
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -101,7 +101,7 @@
         };
         let service = service.clone();
         if scheduler.handle_order_outcome(now, order, outcome) {
-            self.fenced_off(&service, out);
+            self.handle_fenced_order(&service, out);
         }
     }
 
