--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -115,7 +115,7 @@
 
     /// Another VM schedules: a candidacy that waits was one for the vacancy before. Kept, it would come at once in the next one, and a weak VM
     /// go before strong ones.
-    pub(crate) fn end_wait(&mut self, service: &Service) {
+    pub(crate) fn cancel_candidacy(&mut self, service: &Service) {
         self.candidacies.remove(service);
     }
 
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -172,7 +172,7 @@
         if *holder == self.as_holder() {
             self.start_scheduler(service, fence, out);
         } else {
-            self.leaderships.end_wait(service);
+            self.leaderships.cancel_candidacy(service);
             self.stop_scheduler(service, out);
             self.introduce(service, out);
             self.update_candidacies(out);
@@ -221,7 +221,7 @@
         client.silent = false;
         self.timers.set(now + HOLDER_TIMEOUT, Timer::Leadership);
         if changed {
-            self.leaderships.end_wait(service);
+            self.leaderships.cancel_candidacy(service);
             Self::log(
                 out,
                 Code::HolderNamed,
