--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -120,7 +120,7 @@
     }
 
     /// The holder of a leadership changed.
-    pub(crate) fn note_change(&mut self, service: &Service, now: Instant) {
+    pub(crate) fn record_holder_change(&mut self, service: &Service, now: Instant) {
         self.changes.insert(service.clone(), now);
     }
 }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -162,7 +162,7 @@
             return;
         }
         if known {
-            self.leaderships.note_change(service, self.now);
+            self.leaderships.record_holder_change(service, self.now);
         }
         Self::log(
             out,
