--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -65,7 +65,7 @@
 
 /// How long a leadership stays with a holder that seems silent to this VM: orders of two holders in turn within three seconds
 /// are not wanted, even where fencing numbers keep them harmless.
-pub(crate) const SETTLED: Span = Span::from_millis(3_500);
+pub(crate) const MIN_TENURE: Span = Span::from_millis(3_500);
 
 impl Gateway {
     /// Whether a leadership became free by time alone, and this VM does not wait for its candidacy yet.
@@ -163,7 +163,7 @@
             .scheduler_clients
             .get(service)
             .is_some_and(|client| client.silent);
-        let settled = self.now.since(self.leaderships.changed(service)) >= SETTLED;
+        let settled = self.now.since(self.leaderships.changed(service)) >= MIN_TENURE;
         match holder.vm == self.settings.vm {
             true if holder.incarnation != self.settings.incarnation => {
                 if self.is_stronger_there() {
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -14,7 +14,7 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::candidacy::{Candidacy, SETTLED};
+use crate::cluster::candidacy::{Candidacy, MIN_TENURE};
 use crate::cluster::lease::{Kept, Terms};
 use crate::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Holder, proposed_change};
 use crate::effect::{Effects, Op, OpId};
@@ -81,7 +81,7 @@
     /// of this VM's orders within three seconds.
     pub(crate) fn rested(&self, service: &Service) -> Instant {
         let lost = self.lost.get(service);
-        lost.map_or(Instant::default(), |lost| lost.at + SETTLED)
+        lost.map_or(Instant::default(), |lost| lost.at + MIN_TENURE)
     }
 
     /// This VM ceases to hold a leadership.
@@ -94,7 +94,7 @@
     /// Whether this VM has lost a leadership twice in a short time, and a moment ago.
     pub(crate) fn should_yield(&self, service: &Service, now: Instant) -> bool {
         let lost = self.lost.get(service);
-        lost.is_some_and(|lost| lost.again && now < lost.at + SETTLED)
+        lost.is_some_and(|lost| lost.again && now < lost.at + MIN_TENURE)
     }
 
     /// When the lease was last renewed.
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -10,7 +10,7 @@
 use dahliastile_core::metric::Figure;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::candidacy::SETTLED;
+use crate::cluster::candidacy::MIN_TENURE;
 use crate::cluster::snapshot::{EntryKey, EntryValue, Holder, Resident, Revision, Version};
 use crate::effect::Effects;
 use crate::event::{Fault, RequestId};
@@ -361,7 +361,7 @@
             format!("service={service} vm={:?} why={why}", client.holder),
         );
         self.go_alone(service, out);
-        let settled = self.leaderships.changed(service) + SETTLED;
+        let settled = self.leaderships.changed(service) + MIN_TENURE;
         self.timers.set(settled, Timer::Leadership);
         self.update_candidacies(out);
     }
