--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -147,7 +147,7 @@
             (
                 schedules(vm),
                 strength,
-                membership::score(&("pool", vm.as_str())),
+                membership::rendezvous_score(&("pool", vm.as_str())),
             )
         };
         let keeper = peers.chain([me]).min_by_key(|vm| rank(vm));
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -271,7 +271,7 @@
     }
 
     fn rank(&self, service: &Service, vm: &Vm) -> (Reverse<u32>, u64) {
-        let score = membership::score(&(service.as_str(), vm.as_str()));
+        let score = membership::rendezvous_score(&(service.as_str(), vm.as_str()));
         (Reverse(self.strength(vm)), score)
     }
 }
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -167,7 +167,7 @@
 }
 
 /// The score of a choice by rendezvous hashing: the same on every VM.
-pub(crate) fn score<T: Hash + ?Sized>(choice: &T) -> u64 {
+pub(crate) fn rendezvous_score<T: Hash + ?Sized>(choice: &T) -> u64 {
     let mut hasher = FxHasher::default();
     choice.hash(&mut hasher);
     hasher.finish()
--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -22,7 +22,10 @@
 
 impl Gateway {
     fn rank_for_all(&self, vm: &Vm) -> Rank {
-        (Reverse(self.strength(vm)), membership::score(vm.as_str()))
+        (
+            Reverse(self.strength(vm)),
+            membership::rendezvous_score(vm.as_str()),
+        )
     }
 
     /// The VMs that watch for all.
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -206,7 +206,7 @@
         let choice = watchers
             .into_iter()
             .filter(|vm| !self.is_passed(vm))
-            .min_by_key(|vm| membership::score(&(me.as_str(), vm.as_str())));
+            .min_by_key(|vm| membership::rendezvous_score(&(me.as_str(), vm.as_str())));
         choice.cloned()
     }
 
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -61,7 +61,7 @@
     pub(crate) fn permit_issuer(&self, server: &Server) -> Vm {
         let me = &self.settings.vm;
         let vms = self.peers().chain([me]);
-        let first = vms.min_by_key(|vm| Reverse(membership::score(&(*vm, server))));
+        let first = vms.min_by_key(|vm| Reverse(membership::rendezvous_score(&(*vm, server))));
         first.unwrap_or(me).clone()
     }
 
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -144,7 +144,7 @@
     /// The VMs that count the strikes of a request, the first of them first.
     fn counters(&self, fingerprint: Fingerprint) -> Vec<&Vm> {
         self.first_vms(COUNTERS, |vm| {
-            Reverse(membership::score(&(vm.as_str(), fingerprint)))
+            Reverse(membership::rendezvous_score(&(vm.as_str(), fingerprint)))
         })
     }
 
