--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -221,7 +221,7 @@
         match self.quota.fleet {
             Some((vms, found)) if self.now.since(found) < FLEET_AGE => vms,
             _ => {
-                let vms = self.membership.lately(self.now, &self.settings.vm) + 1;
+                let vms = self.membership.recent_count(self.now, &self.settings.vm) + 1;
                 self.quota.fleet = Some((vms, self.now));
                 vms
             }
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -78,12 +78,12 @@
     }
 
     /// A VM says where it is.
-    pub(crate) fn introduced(&mut self, vm: &Vm, member: &Member) {
+    pub(crate) fn record_member(&mut self, vm: &Vm, member: &Member) {
         self.row(vm, member);
     }
 
     /// A VM was heard.
-    pub(crate) fn heard(&mut self, vm: &Vm, now: Instant) {
+    pub(crate) fn record_heard(&mut self, vm: &Vm, now: Instant) {
         if let Some(row) = self.rows.get_mut(vm) {
             row.heard = now;
             row.down = None;
@@ -91,7 +91,7 @@
     }
 
     /// The link to an address failed. The VM there, and whether it counts as gone.
-    pub(crate) fn down(
+    pub(crate) fn record_link_failure(
         &mut self,
         address: SocketAddr,
         fault: Fault,
@@ -141,7 +141,7 @@
     }
 
     /// How many VMs are there, or were until a while ago, besides one.
-    pub(crate) fn lately(&self, now: Instant, besides: &Vm) -> usize {
+    pub(crate) fn recent_count(&self, now: Instant, besides: &Vm) -> usize {
         let there = |row: &Row| {
             let seen = row.unlisted.max(row.heard);
             row.listed || seen > Instant::default() && now.since(seen) < LATELY
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -306,10 +306,10 @@
     }
 
     fn heard(&mut self, from: &Vm, message: Message, out: &mut Effects) {
-        self.membership.heard(from, self.now);
+        self.membership.record_heard(from, self.now);
         match message {
             Message::Subscribe(member, revision) => {
-                self.membership.introduced(from, &member);
+                self.membership.record_member(from, &member);
                 self.handle_subscribe(from, revision, out);
             }
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
@@ -318,7 +318,7 @@
                 self.handle_progress(&service, from, request, progress);
             }
             Message::Hello(service, member, running, wants) => {
-                self.membership.introduced(from, &member);
+                self.membership.record_member(from, &member);
                 self.handle_resync(&service, from, &running, wants);
             }
             Message::Place(service, fence, request, server, version) => {
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -306,7 +306,7 @@
     /// A link broke: where it led to a holder, this VM goes on alone until it hears of one again.
     pub(crate) fn peer_down(&mut self, address: SocketAddr, fault: Fault, out: &mut Effects) {
         let now = self.now;
-        let Some((vm, gone)) = self.membership.down(address, fault, now) else {
+        let Some((vm, gone)) = self.membership.record_link_failure(address, fault, now) else {
             return;
         };
         if gone {
