--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -237,9 +237,9 @@
 }
 
 /// That a subject is gone as of a revision.
-fn removal(subject: EntryKey, revision: Revision) -> Change {
+fn removal(key: EntryKey, revision: Revision) -> Change {
     Change {
-        key: subject,
+        key,
         revision,
         created: 0,
         value: None,
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -261,11 +261,11 @@
 }
 
 /// A fact that this VM writes; the key-value service gives it its revision.
-pub(crate) fn proposed_change(subject: EntryKey, fact: EntryValue) -> Change {
+pub(crate) fn proposed_change(key: EntryKey, value: EntryValue) -> Change {
     Change {
-        key: subject,
+        key,
         revision: 0,
         created: 0,
-        value: Some(fact),
+        value: Some(value),
     }
 }
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -252,12 +252,12 @@
 #[test]
 fn news_toldearlierispassedon() {
     let world = calm(1);
-    let (subject, fact) = (EntryKey::Config, EntryValue::Config(Arc::new(config(9))));
+    let (key, value) = (EntryKey::Config, EntryValue::Config(Arc::new(config(9))));
     let config = Change {
-        key: subject,
+        key,
         revision: 5,
         created: 5,
-        value: Some(fact),
+        value: Some(value),
     };
     let mut table = Snapshot::default();
     assert!(table.is_change(&config, 4));
