--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -19,7 +19,7 @@
 use dahliastile_gateway::config::{Application, Engine, Model};
 use dahliastile_gateway::event::{Ordered, Report, RequestId, Work};
 use dahliastile_gateway::feature::Without;
-use dahliastile_gateway::message::{Progress, Want};
+use dahliastile_gateway::message::{PlacementRequest, Progress};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
 use dahliastile_gateway::settings::{Settings, Tuning};
 use rand::{Rng, SeedableRng};
@@ -176,7 +176,7 @@
             self.last += 1;
             let adapter = self.adapters.sample(&mut self.rng) as u64;
             let vm = self.vms[self.rng.random_range(0..VMS)].clone();
-            let want = Want {
+            let want = PlacementRequest {
                 request: self.last,
                 id: format!("{:016x}", self.last).into(),
                 work: Work {
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -15,7 +15,7 @@
 
 /// A request that wants a place at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct PlacementRequest {
     /// Its number on the VM that asks.
     pub request: RequestId,
     /// The caller's id of it, for the log.
@@ -86,11 +86,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// To the scheduler: requests that want a place.
-    Want(Service, Want),
+    PlacementRequest(Service, PlacementRequest),
     /// To the scheduler: a request is no longer waited for, or went on.
     Progress(Service, RequestId, Progress),
     /// To a new scheduler: where this VM is, and all that runs and waits on it, in place of all said before.
-    Hello(Service, Member, Vec<Running>, Vec<Want>),
+    Hello(Service, Member, Vec<Running>, Vec<PlacementRequest>),
     /// From the scheduler, under its fencing number: where a request goes.
     Place(Service, u64, RequestId, Server, Option<Version>),
     /// From the scheduler: a request can't be served in time; when to come back.
@@ -139,7 +139,7 @@
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
-            Self::Want(..) => "want",
+            Self::PlacementRequest(..) => "want",
             Self::Progress(..) => "progress",
             Self::Hello(..) => "hello",
             Self::Place(..) => "place",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -313,7 +313,9 @@
                 self.handle_subscribe(from, revision, out);
             }
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
-            Message::Want(service, want) => self.handle_placement_request(&service, from, want),
+            Message::PlacementRequest(service, want) => {
+                self.handle_placement_request(&service, from, want)
+            }
             Message::Progress(service, request, progress) => {
                 self.handle_progress(&service, from, request, progress);
             }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -19,7 +19,7 @@
 use crate::effect::{Effect, Effects, Reason, Send, Verdict};
 use crate::event::{Call, RequestId};
 use crate::measure;
-use crate::message::{Progress, Want};
+use crate::message::{PlacementRequest, Progress};
 use crate::node::Gateway;
 use crate::timer::Timer;
 
@@ -117,8 +117,13 @@
     }
 
     /// What the scheduler is asked; none for a request of a plain service.
-    pub(crate) fn want(&self, request: RequestId, zone: &Zone, now: Instant) -> Option<Want> {
-        Some(Want {
+    pub(crate) fn want(
+        &self,
+        request: RequestId,
+        zone: &Zone,
+        now: Instant,
+    ) -> Option<PlacementRequest> {
+        Some(PlacementRequest {
             request,
             id: self.call.id.clone(),
             work: self.call.work.clone()?,
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -39,7 +39,7 @@
 use crate::effect::{Order, OrderId};
 use crate::event::{Ordered, Report, RequestId, Work};
 use crate::feature::Feature;
-use crate::message::{Holding, Progress, Running, Want};
+use crate::message::{Holding, PlacementRequest, Progress, Running};
 use crate::request::health::{Health, deprioritized};
 use crate::request::notice::Rate;
 use crate::request::notice::leaving::last_resort_period;
@@ -309,7 +309,7 @@
     }
 
     /// A VM wants a place for a request.
-    pub fn enqueue(&mut self, now: Instant, vm: &Vm, want: Want) {
+    pub fn enqueue(&mut self, now: Instant, vm: &Vm, want: PlacementRequest) {
         self.dirty = true;
         let id = JobId {
             vm: vm.clone(),
@@ -346,7 +346,13 @@
     }
 
     /// A VM says all that runs and waits there, in place of all it said before.
-    pub fn resync_vm(&mut self, now: Instant, vm: &Vm, running: &[Running], wants: Vec<Want>) {
+    pub fn resync_vm(
+        &mut self,
+        now: Instant,
+        vm: &Vm,
+        running: &[Running],
+        wants: Vec<PlacementRequest>,
+    ) {
         self.vm_gone(vm);
         for run in running {
             let id = JobId {
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -15,7 +15,7 @@
 use crate::effect::Effects;
 use crate::event::{Fault, RequestId};
 use crate::measure;
-use crate::message::{Holding, Message, Progress, Running, Want};
+use crate::message::{Holding, Message, PlacementRequest, Progress, Running};
 use crate::node::Gateway;
 use crate::request::state::Phase;
 use crate::timer::Timer;
@@ -65,7 +65,9 @@
             .set(now + PLACEMENT_RETRY_DELAY, Timer::Request(request));
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         match client.holder.clone() {
-            Some(holder) if !client.silent => self.send(&holder, Message::Want(service, want), out),
+            Some(holder) if !client.silent => {
+                self.send(&holder, Message::PlacementRequest(service, want), out)
+            }
             _ => self.place_alone(request, out),
         }
     }
@@ -403,7 +405,10 @@
     }
 
     /// All that runs and waits on this VM for a service.
-    pub(crate) fn running_and_waiting(&self, service: &Service) -> (Vec<Running>, Vec<Want>) {
+    pub(crate) fn running_and_waiting(
+        &self,
+        service: &Service,
+    ) -> (Vec<Running>, Vec<PlacementRequest>) {
         let mut running = Vec::new();
         let mut wants = Vec::new();
         // What waits for tokens of its account or for leave at a server wants no place yet.
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -7,7 +7,7 @@
 use crate::cluster::snapshot::{Backend, Version};
 use crate::effect::{Effects, OrderId};
 use crate::event::{Ordered, Report, RequestId};
-use crate::message::{Progress, Running, Want};
+use crate::message::{PlacementRequest, Progress, Running};
 use crate::node::Gateway;
 
 impl Gateway {
@@ -52,7 +52,12 @@
 
     /// A VM wants a place for a request. Where this VM does not schedule the service, the VM that asks will hear of
     /// the one that does, and ask there.
-    pub(crate) fn handle_placement_request(&mut self, service: &Service, from: &Vm, want: Want) {
+    pub(crate) fn handle_placement_request(
+        &mut self,
+        service: &Service,
+        from: &Vm,
+        want: PlacementRequest,
+    ) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
             scheduler.enqueue(self.now, from, want);
         }
@@ -77,7 +82,7 @@
         service: &Service,
         from: &Vm,
         running: &[Running],
-        wants: Vec<Want>,
+        wants: Vec<PlacementRequest>,
     ) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
             scheduler.resync_vm(self.now, from, running, wants);
--- a/crates/gateway/src/scheduler/job.rs
+++ b/crates/gateway/src/scheduler/job.rs
@@ -9,7 +9,7 @@
 
 use super::key::Key;
 use crate::event::{RequestId, Work};
-use crate::message::{Running, Want};
+use crate::message::{PlacementRequest, Running};
 
 /// A request of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -65,7 +65,7 @@
 
 impl Job {
     /// A request that wants a place.
-    pub(crate) fn waiting(now: Instant, want: Want, key: Option<Key>) -> Self {
+    pub(crate) fn waiting(now: Instant, want: PlacementRequest, key: Option<Key>) -> Self {
         let arrived = now.back(want.waited);
         Self {
             id: want.id,
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -9,7 +9,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::effect::Order;
 use dahliastile_gateway::event::{Cause, Ordered, Ran};
-use dahliastile_gateway::message::{Progress, Running, Want};
+use dahliastile_gateway::message::{PlacementRequest, Progress, Running};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
 use dahliastile_gateway::settings::Tuning;
 use support::setup::{self, name, work, zone};
@@ -202,7 +202,7 @@
         // Multiples of a number that shares no factor with the rest visit every adapter in turn.
         let adapter = format!("a{}", number * 37 % adapters);
         self.asked.insert(number as u64, Arc::from(&*adapter));
-        let want = Want {
+        let want = PlacementRequest {
             request: number as u64,
             id: Arc::from(format!("r{number}")),
             work: work(&adapter, 600, 20),
