--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -11,7 +11,7 @@
 
 use crate::cluster::membership;
 use crate::effect::Effects;
-use crate::message::{Holding, Message};
+use crate::message::{EngineResidents, Message};
 use crate::node::Gateway;
 
 /// VMs that watch the key-value service by themselves: one may fail while another is being replaced.
@@ -76,7 +76,7 @@
         &self,
         service: &Service,
         fence: u64,
-        residents: Vec<Holding>,
+        residents: Vec<EngineResidents>,
         out: &mut Effects,
     ) {
         self.tell_zone(service, fence, &residents, out);
@@ -91,7 +91,7 @@
         &self,
         service: &Service,
         fence: u64,
-        residents: &[Holding],
+        residents: &[EngineResidents],
         out: &mut Effects,
     ) {
         if self.is_relay() {
@@ -99,7 +99,13 @@
         }
     }
 
-    fn tell_zone(&self, service: &Service, fence: u64, residents: &[Holding], out: &mut Effects) {
+    fn tell_zone(
+        &self,
+        service: &Service,
+        fence: u64,
+        residents: &[EngineResidents],
+        out: &mut Effects,
+    ) {
         let message = Message::Passed(service.clone(), fence, residents.to_vec());
         let zone = Some(&self.settings.zone);
         for vm in self.peers().filter(|vm| self.membership.zone(vm) == zone) {
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -49,7 +49,7 @@
 
 /// What one engine holds, as its scheduler believes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct EngineResidents {
     /// The engine.
     pub server: Server,
     /// The adapters that can be used there.
@@ -96,9 +96,9 @@
     /// From the scheduler: a request can't be served in time; when to come back.
     Refuse(Service, u64, RequestId, Span),
     /// From the scheduler to one VM of each availability zone: what each engine holds, for the time without a scheduler.
-    Residents(Service, u64, Vec<Holding>),
+    Residents(Service, u64, Vec<EngineResidents>),
     /// From the VM that tells its availability zone: what the scheduler under a fencing number told it of engines.
-    Passed(Service, u64, Vec<Holding>),
+    Passed(Service, u64, Vec<EngineResidents>),
     /// From the scheduler: it is there.
     Alive(Service, u64),
     /// From the scheduler, at a time of its own clock: will this VM take no leadership for a while?
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -39,7 +39,7 @@
 use crate::effect::{Order, OrderId};
 use crate::event::{Ordered, Report, RequestId, Work};
 use crate::feature::Feature;
-use crate::message::{Holding, PlacementRequest, Progress, Running};
+use crate::message::{EngineResidents, PlacementRequest, Progress, Running};
 use crate::request::health::{Health, deprioritized};
 use crate::request::notice::Rate;
 use crate::request::notice::leaving::last_resort_period;
@@ -82,7 +82,7 @@
     /// A server is asked for its report.
     QueryReport(Server, SocketAddr),
     /// What some engines hold, for all VMs.
-    Residents(Vec<Holding>),
+    Residents(Vec<EngineResidents>),
     /// The scheduler is there, for all VMs.
     Heartbeat,
     /// A log event.
@@ -497,17 +497,17 @@
     }
 
     /// What the engines hold whose turn it is to be told of.
-    fn next_residents(&mut self) -> Vec<Holding> {
+    fn next_residents(&mut self) -> Vec<EngineResidents> {
         let after = match self.told.take() {
             Some(server) => (Bound::Excluded(server), Bound::Unbounded),
             None => (Bound::Unbounded, Bound::Unbounded),
         };
         let turn = self.engines.range(after).take(RESIDENTS_ROWS);
-        let holding = |(server, engine): (&Server, &Engine)| Holding {
+        let holding = |(server, engine): (&Server, &Engine)| EngineResidents {
             server: server.clone(),
             adapters: engine.residents(&self.keys),
         };
-        let rows: Vec<Holding> = turn.map(holding).collect();
+        let rows: Vec<EngineResidents> = turn.map(holding).collect();
         if rows.len() == RESIDENTS_ROWS {
             self.told = rows.last().map(|row| row.server.clone());
         }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -15,7 +15,7 @@
 use crate::effect::Effects;
 use crate::event::{Fault, RequestId};
 use crate::measure;
-use crate::message::{Holding, Message, PlacementRequest, Progress, Running};
+use crate::message::{EngineResidents, Message, PlacementRequest, Progress, Running};
 use crate::node::Gateway;
 use crate::request::state::Phase;
 use crate::timer::Timer;
@@ -254,7 +254,7 @@
     }
 
     /// Keeps what the scheduler says some engines hold.
-    pub(crate) fn record_residents(&mut self, service: &Service, residents: Vec<Holding>) {
+    pub(crate) fn record_residents(&mut self, service: &Service, residents: Vec<EngineResidents>) {
         let servers = &self.servers;
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         client
