--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -90,7 +90,7 @@
     /// To the scheduler: a request is no longer waited for, or went on.
     Progress(Service, RequestId, Progress),
     /// To a new scheduler: where this VM is, and all that runs and waits on it, in place of all said before.
-    Hello(Service, Member, Vec<Running>, Vec<PlacementRequest>),
+    Resync(Service, Member, Vec<Running>, Vec<PlacementRequest>),
     /// From the scheduler, under its fencing number: where a request goes.
     Place(Service, u64, RequestId, Server, Option<Version>),
     /// From the scheduler: a request can't be served in time; when to come back.
@@ -141,7 +141,7 @@
         match self {
             Self::PlacementRequest(..) => "want",
             Self::Progress(..) => "progress",
-            Self::Hello(..) => "hello",
+            Self::Resync(..) => "hello",
             Self::Place(..) => "place",
             Self::Refuse(..) => "refuse",
             Self::Residents(..) => "residents",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -319,7 +319,7 @@
             Message::Progress(service, request, progress) => {
                 self.handle_progress(&service, from, request, progress);
             }
-            Message::Hello(service, member, running, wants) => {
+            Message::Resync(service, member, running, wants) => {
                 self.membership.record_member(from, &member);
                 self.handle_resync(&service, from, &running, wants);
             }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -396,7 +396,7 @@
             .set(self.now + HOLDER_TIMEOUT, Timer::Leadership);
         self.send(
             &holder,
-            Message::Hello(service.clone(), self.member(), running, wants),
+            Message::Resync(service.clone(), self.member(), running, wants),
             out,
         );
         for message in self.notice_messages(service) {
