--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -92,7 +92,7 @@
     /// To a new scheduler: where this VM is, and all that runs and waits on it, in place of all said before.
     Resync(Service, Member, Vec<Running>, Vec<PlacementRequest>),
     /// From the scheduler, under its fencing number: where a request goes.
-    Place(Service, u64, RequestId, Server, Option<Version>),
+    Placement(Service, u64, RequestId, Server, Option<Version>),
     /// From the scheduler: a request can't be served in time; when to come back.
     Refuse(Service, u64, RequestId, Span),
     /// From the scheduler to one VM of each availability zone: what each engine holds, for the time without a scheduler.
@@ -142,7 +142,7 @@
             Self::PlacementRequest(..) => "want",
             Self::Progress(..) => "progress",
             Self::Resync(..) => "hello",
-            Self::Place(..) => "place",
+            Self::Placement(..) => "place",
             Self::Refuse(..) => "refuse",
             Self::Residents(..) => "residents",
             Self::Passed(..) => "passed",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -323,7 +323,7 @@
                 self.membership.record_member(from, &member);
                 self.handle_resync(&service, from, &running, wants);
             }
-            Message::Place(service, fence, request, server, version) => {
+            Message::Placement(service, fence, request, server, version) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
                     self.record_placement(request, &server, version);
                     self.handle_placement(request, &server, version, out);
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -48,7 +48,7 @@
             Decision::Place(vm, request, server, version) => {
                 self.send(
                     &vm,
-                    Message::Place(service.clone(), fence, request, server, version),
+                    Message::Placement(service.clone(), fence, request, server, version),
                     out,
                 );
             }
