--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -94,7 +94,7 @@
     /// From the scheduler, under its fencing number: where a request goes.
     Placement(Service, u64, RequestId, Server, Option<Version>),
     /// From the scheduler: a request can't be served in time; when to come back.
-    Refuse(Service, u64, RequestId, Span),
+    PlacementRefused(Service, u64, RequestId, Span),
     /// From the scheduler to one VM of each availability zone: what each engine holds, for the time without a scheduler.
     Residents(Service, u64, Vec<EngineResidents>),
     /// From the VM that tells its availability zone: what the scheduler under a fencing number told it of engines.
@@ -143,7 +143,7 @@
             Self::Progress(..) => "progress",
             Self::Resync(..) => "hello",
             Self::Placement(..) => "place",
-            Self::Refuse(..) => "refuse",
+            Self::PlacementRefused(..) => "refuse",
             Self::Residents(..) => "residents",
             Self::Passed(..) => "passed",
             Self::Alive(..) => "alive",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -329,7 +329,7 @@
                     self.handle_placement(request, &server, version, out);
                 }
             }
-            Message::Refuse(service, fence, request, after) => {
+            Message::PlacementRefused(service, fence, request, after) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
                     self.handle_placement_refused(request, after, out);
                 }
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -58,7 +58,7 @@
             Decision::Refuse(vm, request, after) => {
                 self.send(
                     &vm,
-                    Message::Refuse(service.clone(), fence, request, after),
+                    Message::PlacementRefused(service.clone(), fence, request, after),
                     out,
                 );
             }
