--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -80,7 +80,7 @@
         out: &mut Effects,
     ) {
         self.tell_zone(service, fence, &residents, out);
-        let told = Message::Residents(service.clone(), fence, residents);
+        let told = Message::ResidentAdapters(service.clone(), fence, residents);
         for vm in self.relays() {
             self.send(vm, told.clone(), out);
         }
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -96,7 +96,7 @@
     /// From the scheduler: a request can't be served in time; when to come back.
     PlacementRefused(Service, u64, RequestId, Span),
     /// From the scheduler to one VM of each availability zone: what each engine holds, for the time without a scheduler.
-    Residents(Service, u64, Vec<EngineResidents>),
+    ResidentAdapters(Service, u64, Vec<EngineResidents>),
     /// From the VM that tells its availability zone: what the scheduler under a fencing number told it of engines.
     Passed(Service, u64, Vec<EngineResidents>),
     /// From the scheduler: it is there.
@@ -144,7 +144,7 @@
             Self::Resync(..) => "hello",
             Self::Placement(..) => "place",
             Self::PlacementRefused(..) => "refuse",
-            Self::Residents(..) => "residents",
+            Self::ResidentAdapters(..) => "residents",
             Self::Passed(..) => "passed",
             Self::Alive(..) => "alive",
             Self::RequestLeaseVote(..) => "request_lease_vote",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -345,7 +345,7 @@
             Message::LeaseVote(service, fence, asked) => {
                 self.handle_vote(&service, fence, asked, from);
             }
-            Message::Residents(service, fence, residents) => {
+            Message::ResidentAdapters(service, fence, residents) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
                     self.relay_residents(&service, fence, &residents, out);
                     self.record_residents(&service, residents);
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -99,7 +99,7 @@
             }
             Decision::Residents(rows) => {
                 let servers = rows.iter().map(|row| row.server.clone()).collect();
-                let message = Message::Residents(name(ENGINES), 1, rows);
+                let message = Message::ResidentAdapters(name(ENGINES), 1, rows);
                 let bytes = encode(&[message]).expect("it can be written").len();
                 self.digests.push((servers, bytes));
             }
