--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -106,7 +106,7 @@
         residents: &[EngineResidents],
         out: &mut Effects,
     ) {
-        let message = Message::Passed(service.clone(), fence, residents.to_vec());
+        let message = Message::RelayedResidentAdapters(service.clone(), fence, residents.to_vec());
         let zone = Some(&self.settings.zone);
         for vm in self.peers().filter(|vm| self.membership.zone(vm) == zone) {
             self.send(vm, message.clone(), out);
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -98,7 +98,7 @@
     /// From the scheduler to one VM of each availability zone: what each engine holds, for the time without a scheduler.
     ResidentAdapters(Service, u64, Vec<EngineResidents>),
     /// From the VM that tells its availability zone: what the scheduler under a fencing number told it of engines.
-    Passed(Service, u64, Vec<EngineResidents>),
+    RelayedResidentAdapters(Service, u64, Vec<EngineResidents>),
     /// From the scheduler: it is there.
     Alive(Service, u64),
     /// From the scheduler, at a time of its own clock: will this VM take no leadership for a while?
@@ -145,7 +145,7 @@
             Self::Placement(..) => "place",
             Self::PlacementRefused(..) => "refuse",
             Self::ResidentAdapters(..) => "residents",
-            Self::Passed(..) => "passed",
+            Self::RelayedResidentAdapters(..) => "passed",
             Self::Alive(..) => "alive",
             Self::RequestLeaseVote(..) => "request_lease_vote",
             Self::LeaseVote(..) => "lease_vote",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -370,7 +370,7 @@
             Message::Grant(grant) => self.granted(&grant, out),
             Message::Collect(number, accounts) => self.collected(from, number, &accounts, out),
             Message::Deposit(number, deposits) => self.deposited(from, number, &deposits, out),
-            Message::Passed(service, fence, residents) => {
+            Message::RelayedResidentAdapters(service, fence, residents) => {
                 let holder = self
                     .scheduler_clients
                     .get(&service)
