--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -100,7 +100,7 @@
     /// From the VM that tells its availability zone: what the scheduler under a fencing number told it of engines.
     RelayedResidentAdapters(Service, u64, Vec<EngineResidents>),
     /// From the scheduler: it is there.
-    Alive(Service, u64),
+    SchedulerHeartbeat(Service, u64),
     /// From the scheduler, at a time of its own clock: will this VM take no leadership for a while?
     RequestLeaseVote(Service, u64, Instant),
     /// To the scheduler that asked so at a time of its clock: it will take none.
@@ -146,7 +146,7 @@
             Self::PlacementRefused(..) => "refuse",
             Self::ResidentAdapters(..) => "residents",
             Self::RelayedResidentAdapters(..) => "passed",
-            Self::Alive(..) => "alive",
+            Self::SchedulerHeartbeat(..) => "alive",
             Self::RequestLeaseVote(..) => "request_lease_vote",
             Self::LeaseVote(..) => "lease_vote",
             Self::Subscribe(..) => "follow",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -334,7 +334,7 @@
                     self.handle_placement_refused(request, after, out);
                 }
             }
-            Message::Alive(service, fence) => {
+            Message::SchedulerHeartbeat(service, fence) => {
                 self.accept_scheduler_message(&service, fence, from, out);
             }
             Message::RequestLeaseVote(service, fence, asked) => {
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -76,7 +76,9 @@
                 self.record_residents(service, residents.clone());
                 self.broadcast_residents(service, fence, residents, out);
             }
-            Decision::Heartbeat => self.broadcast(&Message::Alive(service.clone(), fence), out),
+            Decision::Heartbeat => {
+                self.broadcast(&Message::SchedulerHeartbeat(service.clone(), fence), out)
+            }
             Decision::Log(record) => out.push(Effect::Log(record)),
         }
     }
