--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -49,7 +49,7 @@
 
 /// What a VM draws from the pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Draw {
+pub struct TokenRequest {
     /// The account.
     pub account: Tenant,
     /// The number of the draw, by which its answer is known.
@@ -60,7 +60,7 @@
     pub room: Tokens,
 }
 
-impl Draw {
+impl TokenRequest {
     /// The answer to it: granted with so many more tokens, or when there may be some.
     fn answer(&self, answer: Result<Tokens, Span>) -> Grant {
         Grant {
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use super::{Draw, Grant, Waiting, pool};
+use super::{Grant, TokenRequest, Waiting, pool};
 use crate::account::Tokens;
 use crate::cluster::membership;
 use crate::effect::Effects;
@@ -108,7 +108,7 @@
         let Some((share, terms)) = self.share(account) else {
             return;
         };
-        let draw = Draw {
+        let draw = TokenRequest {
             account: account.clone(),
             number,
             tokens,
@@ -126,7 +126,7 @@
             self.drawn(&to, draw, out);
         } else {
             self.timers.set_once(until, Timer::Quota);
-            self.send(&to, Message::Draw(draw), out);
+            self.send(&to, Message::TokenRequest(draw), out);
         }
     }
 
--- a/crates/gateway/src/account/quota/keeper.rs
+++ b/crates/gateway/src/account/quota/keeper.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use super::pool::Answer;
-use super::{Allowance, Draw};
+use super::{Allowance, TokenRequest};
 use crate::account::{Limit, Tokens};
 use crate::effect::Effects;
 use crate::message::Message;
@@ -18,7 +18,7 @@
 
 impl Gateway {
     /// A VM draws from the pool that this one keeps.
-    pub(crate) fn drawn(&mut self, from: &Vm, draw: Draw, out: &mut Effects) {
+    pub(crate) fn drawn(&mut self, from: &Vm, draw: TokenRequest, out: &mut Effects) {
         let vms = self.fleet();
         let Some(share) = self.quota.shares.get_mut(&draw.account) else {
             // This VM's configuration is older or newer; the one that draws asks again elsewhere.
--- a/crates/gateway/src/account/quota/pool.rs
+++ b/crates/gateway/src/account/quota/pool.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use super::bucket::{Bucket, Terms, wait};
-use super::{Draw, Grant};
+use super::{Grant, TokenRequest};
 use crate::account::Tokens;
 
 /// The least time between two collections.
@@ -39,7 +39,7 @@
     /// The VM that draws.
     from: Vm,
     /// What it draws.
-    draw: Draw,
+    draw: TokenRequest,
     /// Until when it waits.
     until: Instant,
 }
@@ -97,7 +97,7 @@
         &mut self,
         now: Instant,
         from: Vm,
-        draw: Draw,
+        draw: TokenRequest,
         terms: Terms,
         vms: usize,
         out: &mut Vec<Answer>,
@@ -205,7 +205,7 @@
 
     /// Whether a draw may be served by what the next collection brings. As long as none has, it may; and the first draw, whatever its
     /// size.
-    fn is_worth_waiting(&self, draw: &Draw) -> bool {
+    fn is_worth_waiting(&self, draw: &TokenRequest) -> bool {
         let ahead = self.waiting.iter().map(|w| w.draw.tokens.as_f64());
         let wanted = ahead.sum::<f64>() + draw.tokens.as_f64();
         let soon = self.brought.map(|brought| self.bucket.balance() + brought);
@@ -238,7 +238,7 @@
     }
 
     /// Refuses a draw and says when its tokens will be there, after those of all that were refused before.
-    fn refuse(&mut self, now: Instant, draw: &Draw) -> Grant {
+    fn refuse(&mut self, now: Instant, draw: &TokenRequest) -> Grant {
         let begins = self.promised.max(now);
         let ends = begins + wait(draw.tokens.as_f64(), self.terms.rate);
         self.promised = ends.min(now + LONGEST_WAIT);
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use crate::account::Tokens;
-use crate::account::quota::{Draw, Grant};
+use crate::account::quota::{Grant, TokenRequest};
 use crate::cluster::snapshot::{Change, Member, Resident, Revision, Version};
 use crate::event::{Cause, Ran, RequestId, Work};
 use crate::request::fingerprint::Fingerprint;
@@ -115,7 +115,7 @@
     /// What is known of requests that servers have ended under.
     QuarantineStatuses(Vec<(Fingerprint, QuarantineStatus)>),
     /// To the VM that keeps the pool of tokens: a VM runs short.
-    Draw(Draw),
+    TokenRequest(TokenRequest),
     /// From the VM that keeps the pool: the answer to a draw.
     Grant(Grant),
     /// From the VM that keeps the pool: a collection with its number, for these accounts.
@@ -153,7 +153,7 @@
             Self::Replicate(_) => "replicate",
             Self::CrashReports(_) => "struck",
             Self::QuarantineStatuses(_) => "standings",
-            Self::Draw(_) => "draw",
+            Self::TokenRequest(_) => "draw",
             Self::Grant(_) => "grant",
             Self::Collect(..) => "collect",
             Self::Deposit(..) => "deposit",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -366,7 +366,7 @@
             Message::Permitted(request, server, answer) => {
                 self.handle_permit_reply(request, &server, answer, out);
             }
-            Message::Draw(draw) => self.drawn(from, draw, out),
+            Message::TokenRequest(draw) => self.drawn(from, draw, out),
             Message::Grant(grant) => self.granted(&grant, out),
             Message::Collect(number, accounts) => self.collected(from, number, &accounts, out),
             Message::Deposit(number, deposits) => self.deposited(from, number, &deposits, out),
