--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -62,8 +62,8 @@
 
 impl TokenRequest {
     /// The answer to it: granted with so many more tokens, or when there may be some.
-    fn answer(&self, answer: Result<Tokens, Span>) -> Grant {
-        Grant {
+    fn answer(&self, answer: Result<Tokens, Span>) -> TokenGrant {
+        TokenGrant {
             account: self.account.clone(),
             number: self.number,
             answer,
@@ -73,7 +73,7 @@
 
 /// The pool's answer to a draw.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct TokenGrant {
     /// The account.
     pub account: Tenant,
     /// The number of the draw.
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use super::{Grant, TokenRequest, Waiting, pool};
+use super::{TokenGrant, TokenRequest, Waiting, pool};
 use crate::account::Tokens;
 use crate::cluster::membership;
 use crate::effect::Effects;
@@ -188,7 +188,7 @@
     }
 
     /// The pool answers a draw of this VM.
-    pub(crate) fn granted(&mut self, grant: &Grant, out: &mut Effects) {
+    pub(crate) fn granted(&mut self, grant: &TokenGrant, out: &mut Effects) {
         let now = self.now;
         let Some((share, terms)) = self.share(&grant.account) else {
             return;
--- a/crates/gateway/src/account/quota/keeper.rs
+++ b/crates/gateway/src/account/quota/keeper.rs
@@ -79,7 +79,7 @@
             if vm == me {
                 self.granted(&grant, out);
             } else {
-                self.send(&vm, Message::Grant(grant), out);
+                self.send(&vm, Message::TokenGrant(grant), out);
             }
         }
     }
--- a/crates/gateway/src/account/quota/pool.rs
+++ b/crates/gateway/src/account/quota/pool.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use super::bucket::{Bucket, Terms, wait};
-use super::{Grant, TokenRequest};
+use super::{TokenGrant, TokenRequest};
 use crate::account::Tokens;
 
 /// The least time between two collections.
@@ -79,7 +79,7 @@
 }
 
 /// An answer to the VM that drew.
-pub(crate) type Answer = (Vm, Grant);
+pub(crate) type Answer = (Vm, TokenGrant);
 
 impl Pools {
     /// The configuration has changed: pools of accounts that have no limit any more go, others may get smaller.
@@ -238,7 +238,7 @@
     }
 
     /// Refuses a draw and says when its tokens will be there, after those of all that were refused before.
-    fn refuse(&mut self, now: Instant, draw: &TokenRequest) -> Grant {
+    fn refuse(&mut self, now: Instant, draw: &TokenRequest) -> TokenGrant {
         let begins = self.promised.max(now);
         let ends = begins + wait(draw.tokens.as_f64(), self.terms.rate);
         self.promised = ends.min(now + LONGEST_WAIT);
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use crate::account::Tokens;
-use crate::account::quota::{Grant, TokenRequest};
+use crate::account::quota::{TokenGrant, TokenRequest};
 use crate::cluster::snapshot::{Change, Member, Resident, Revision, Version};
 use crate::event::{Cause, Ran, RequestId, Work};
 use crate::request::fingerprint::Fingerprint;
@@ -117,7 +117,7 @@
     /// To the VM that keeps the pool of tokens: a VM runs short.
     TokenRequest(TokenRequest),
     /// From the VM that keeps the pool: the answer to a draw.
-    Grant(Grant),
+    TokenGrant(TokenGrant),
     /// From the VM that keeps the pool: a collection with its number, for these accounts.
     Collect(u64, Vec<Tenant>),
     /// To the VM that keeps the pool: what this VM does not need, in answer to a collection.
@@ -154,7 +154,7 @@
             Self::CrashReports(_) => "struck",
             Self::QuarantineStatuses(_) => "standings",
             Self::TokenRequest(_) => "draw",
-            Self::Grant(_) => "grant",
+            Self::TokenGrant(_) => "grant",
             Self::Collect(..) => "collect",
             Self::Deposit(..) => "deposit",
             Self::Limit(..) => "limit",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -367,7 +367,7 @@
                 self.handle_permit_reply(request, &server, answer, out);
             }
             Message::TokenRequest(draw) => self.drawn(from, draw, out),
-            Message::Grant(grant) => self.granted(&grant, out),
+            Message::TokenGrant(grant) => self.granted(&grant, out),
             Message::Collect(number, accounts) => self.collected(from, number, &accounts, out),
             Message::Deposit(number, deposits) => self.deposited(from, number, &deposits, out),
             Message::RelayedResidentAdapters(service, fence, residents) => {
