--- a/crates/gateway/src/account/quota/keeper.rs
+++ b/crates/gateway/src/account/quota/keeper.rs
@@ -50,7 +50,7 @@
         let asked = peers.iter().chain([&me]).cloned().collect();
         let accounts = self.quota.pools.begin(self.now, asked, number);
         for vm in peers {
-            self.send(&vm, Message::Collect(number, accounts.clone()), out);
+            self.send(&vm, Message::CollectTokens(number, accounts.clone()), out);
         }
         let own = self.surplus(&accounts);
         self.deposited(&me, number, &own, out);
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -119,7 +119,7 @@
     /// From the VM that keeps the pool: the answer to a draw.
     TokenGrant(TokenGrant),
     /// From the VM that keeps the pool: a collection with its number, for these accounts.
-    Collect(u64, Vec<Tenant>),
+    CollectTokens(u64, Vec<Tenant>),
     /// To the VM that keeps the pool: what this VM does not need, in answer to a collection.
     Deposit(u64, Vec<(Tenant, Tokens)>),
     /// A server names a limit to the requests a second that it takes from all VMs together, or none any more.
@@ -155,7 +155,7 @@
             Self::QuarantineStatuses(_) => "standings",
             Self::TokenRequest(_) => "draw",
             Self::TokenGrant(_) => "grant",
-            Self::Collect(..) => "collect",
+            Self::CollectTokens(..) => "collect",
             Self::Deposit(..) => "deposit",
             Self::Limit(..) => "limit",
             Self::Leaving(..) => "leaving",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -368,7 +368,9 @@
             }
             Message::TokenRequest(draw) => self.drawn(from, draw, out),
             Message::TokenGrant(grant) => self.granted(&grant, out),
-            Message::Collect(number, accounts) => self.collected(from, number, &accounts, out),
+            Message::CollectTokens(number, accounts) => {
+                self.collected(from, number, &accounts, out)
+            }
             Message::Deposit(number, deposits) => self.deposited(from, number, &deposits, out),
             Message::RelayedResidentAdapters(service, fence, residents) => {
                 let holder = self
