--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -164,7 +164,7 @@
     ) {
         let surplus = self.surplus(accounts);
         if !surplus.is_empty() {
-            self.send(from, Message::Deposit(number, surplus), out);
+            self.send(from, Message::SurplusTokens(number, surplus), out);
         }
     }
 
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -121,7 +121,7 @@
     /// From the VM that keeps the pool: a collection with its number, for these accounts.
     CollectTokens(u64, Vec<Tenant>),
     /// To the VM that keeps the pool: what this VM does not need, in answer to a collection.
-    Deposit(u64, Vec<(Tenant, Tokens)>),
+    SurplusTokens(u64, Vec<(Tenant, Tokens)>),
     /// A server names a limit to the requests a second that it takes from all VMs together, or none any more.
     Limit(Server, Option<Rate>),
     /// A server is leaving, as this start of it says.
@@ -156,7 +156,7 @@
             Self::TokenRequest(_) => "draw",
             Self::TokenGrant(_) => "grant",
             Self::CollectTokens(..) => "collect",
-            Self::Deposit(..) => "deposit",
+            Self::SurplusTokens(..) => "deposit",
             Self::Limit(..) => "limit",
             Self::Leaving(..) => "leaving",
             Self::ServerCooldown(..) => "rest",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -371,7 +371,9 @@
             Message::CollectTokens(number, accounts) => {
                 self.collected(from, number, &accounts, out)
             }
-            Message::Deposit(number, deposits) => self.deposited(from, number, &deposits, out),
+            Message::SurplusTokens(number, deposits) => {
+                self.deposited(from, number, &deposits, out)
+            }
             Message::RelayedResidentAdapters(service, fence, residents) => {
                 let holder = self
                     .scheduler_clients
