--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -123,7 +123,7 @@
     /// To the VM that keeps the pool: what this VM does not need, in answer to a collection.
     SurplusTokens(u64, Vec<(Tenant, Tokens)>),
     /// A server names a limit to the requests a second that it takes from all VMs together, or none any more.
-    Limit(Server, Option<Rate>),
+    ServerRateLimit(Server, Option<Rate>),
     /// A server is leaving, as this start of it says.
     Leaving(Server, Option<Incarnation>),
     /// To the scheduler: a server has asked the sender for so much rest.
@@ -157,7 +157,7 @@
             Self::TokenGrant(_) => "grant",
             Self::CollectTokens(..) => "collect",
             Self::SurplusTokens(..) => "deposit",
-            Self::Limit(..) => "limit",
+            Self::ServerRateLimit(..) => "limit",
             Self::Leaving(..) => "leaving",
             Self::ServerCooldown(..) => "rest",
             Self::Permit(..) => "permit",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -353,7 +353,7 @@
             }
             Message::CrashReports(strikes) => self.handle_crash_reports(from, &strikes, out),
             Message::QuarantineStatuses(told) => self.handle_quarantine_statuses(told, out),
-            Message::Limit(server, limit) => self.set_limit(from, &server, limit, out),
+            Message::ServerRateLimit(server, limit) => self.set_limit(from, &server, limit, out),
             Message::Leaving(server, start) => {
                 self.mark_leaving(from, &server, start, out);
             }
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -121,7 +121,7 @@
     fn for_all(&self, server: &Server) -> impl Iterator<Item = Message> {
         let limit = self
             .limit
-            .map(|_| Message::Limit(server.clone(), self.limit));
+            .map(|_| Message::ServerRateLimit(server.clone(), self.limit));
         let leaving = self
             .leaving
             .map(|_| Message::Leaving(server.clone(), self.start));
--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -16,7 +16,11 @@
         self.set_limit(&me, server, limit, out);
         let counting = self.counting_vm(server);
         if counting != me {
-            self.send(&counting, Message::Limit(server.clone(), limit), out);
+            self.send(
+                &counting,
+                Message::ServerRateLimit(server.clone(), limit),
+                out,
+            );
         }
     }
 
@@ -55,7 +59,7 @@
         if limit.is_some() != was.is_some() {
             out.push(Effect::Track(server.clone(), limit.is_some()));
             if self.counting_vm(server) == self.settings.vm {
-                self.broadcast(&Message::Limit(server.clone(), limit), out);
+                self.broadcast(&Message::ServerRateLimit(server.clone(), limit), out);
             }
         }
     }
