--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -125,7 +125,7 @@
     /// A server names a limit to the requests a second that it takes from all VMs together, or none any more.
     ServerRateLimit(Server, Option<Rate>),
     /// A server is leaving, as this start of it says.
-    Leaving(Server, Option<Incarnation>),
+    ServerLeaving(Server, Option<Incarnation>),
     /// To the scheduler: a server has asked the sender for so much rest.
     ServerCooldown(Server, Span),
     /// To the VM that counts what a server is sent: may this request go there?
@@ -158,7 +158,7 @@
             Self::CollectTokens(..) => "collect",
             Self::SurplusTokens(..) => "deposit",
             Self::ServerRateLimit(..) => "limit",
-            Self::Leaving(..) => "leaving",
+            Self::ServerLeaving(..) => "leaving",
             Self::ServerCooldown(..) => "rest",
             Self::Permit(..) => "permit",
             Self::Permitted(..) => "permitted",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -354,7 +354,7 @@
             Message::CrashReports(strikes) => self.handle_crash_reports(from, &strikes, out),
             Message::QuarantineStatuses(told) => self.handle_quarantine_statuses(told, out),
             Message::ServerRateLimit(server, limit) => self.set_limit(from, &server, limit, out),
-            Message::Leaving(server, start) => {
+            Message::ServerLeaving(server, start) => {
                 self.mark_leaving(from, &server, start, out);
             }
             Message::ServerCooldown(server, span) => {
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -124,7 +124,7 @@
             .map(|_| Message::ServerRateLimit(server.clone(), self.limit));
         let leaving = self
             .leaving
-            .map(|_| Message::Leaving(server.clone(), self.start));
+            .map(|_| Message::ServerLeaving(server.clone(), self.start));
         limit.into_iter().chain(leaving)
     }
 }
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -21,7 +21,11 @@
         let start = self.servers.get(server).and_then(|row| row.backend.start);
         let counting = self.counting_vm(server);
         if self.mark_leaving(&me, server, start, out) && counting != me {
-            self.send(&counting, Message::Leaving(server.clone(), start), out);
+            self.send(
+                &counting,
+                Message::ServerLeaving(server.clone(), start),
+                out,
+            );
         }
     }
 
@@ -52,7 +56,7 @@
             format!("server={server} leaving=true by={by}"),
         );
         if self.counting_vm(server) == self.settings.vm {
-            self.broadcast(&Message::Leaving(server.clone(), start), out);
+            self.broadcast(&Message::ServerLeaving(server.clone(), start), out);
         }
         true
     }
