--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -129,7 +129,7 @@
     /// To the scheduler: a server has asked the sender for so much rest.
     ServerCooldown(Server, Span),
     /// To the VM that counts what a server is sent: may this request go there?
-    Permit(RequestId, Server),
+    SendPermitRequest(RequestId, Server),
     /// From that VM: it may, or when to ask again.
     Permitted(RequestId, Server, Result<(), Span>),
 }
@@ -160,7 +160,7 @@
             Self::ServerRateLimit(..) => "limit",
             Self::ServerLeaving(..) => "leaving",
             Self::ServerCooldown(..) => "rest",
-            Self::Permit(..) => "permit",
+            Self::SendPermitRequest(..) => "permit",
             Self::Permitted(..) => "permitted",
         }
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -360,7 +360,7 @@
             Message::ServerCooldown(server, span) => {
                 self.handle_server_cooldown(from, &server, span)
             }
-            Message::Permit(request, server) => {
+            Message::SendPermitRequest(request, server) => {
                 self.handle_permit_request(from, request, server, out)
             }
             Message::Permitted(request, server, answer) => {
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -52,7 +52,7 @@
             self.handle_permit_reply(request, server, answer, out);
         } else {
             self.timers.set(until, Timer::Request(request));
-            let message = Message::Permit(request, server.clone());
+            let message = Message::SendPermitRequest(request, server.clone());
             self.send(&issuer, message, out);
         }
     }
