--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -131,7 +131,7 @@
     /// To the VM that counts what a server is sent: may this request go there?
     SendPermitRequest(RequestId, Server),
     /// From that VM: it may, or when to ask again.
-    Permitted(RequestId, Server, Result<(), Span>),
+    SendPermitReply(RequestId, Server, Result<(), Span>),
 }
 
 impl Message {
@@ -161,7 +161,7 @@
             Self::ServerLeaving(..) => "leaving",
             Self::ServerCooldown(..) => "rest",
             Self::SendPermitRequest(..) => "permit",
-            Self::Permitted(..) => "permitted",
+            Self::SendPermitReply(..) => "permitted",
         }
     }
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -363,7 +363,7 @@
             Message::SendPermitRequest(request, server) => {
                 self.handle_permit_request(from, request, server, out)
             }
-            Message::Permitted(request, server, answer) => {
+            Message::SendPermitReply(request, server, answer) => {
                 self.handle_permit_reply(request, &server, answer, out);
             }
             Message::TokenRequest(draw) => self.drawn(from, draw, out),
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -74,7 +74,7 @@
         out: &mut Effects,
     ) {
         let answer = self.permit(&server);
-        self.send(from, Message::Permitted(request, server, answer), out);
+        self.send(from, Message::SendPermitReply(request, server, answer), out);
     }
 
     /// Counts a request to a server that names a limit, or says when to ask again.
