--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -211,7 +211,7 @@
             match next {
                 Some(Next::Begun(vm, request)) => {
                     self.scheduler
-                        .update_progress(self.now, &vm, request, Progress::Begun);
+                        .update_progress(self.now, &vm, request, Progress::AnswerStarted);
                 }
                 Some(Next::Over(vm, request)) => {
                     self.scheduler
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
     /// Its first event came.
-    Begun,
+    AnswerStarted,
     /// It is over.
     Over,
     /// Its server failed it.
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -298,7 +298,7 @@
         let took = self.now.since(state.arrived);
         state.first.get_or_insert(took);
         measure::time(out, Figure::FirstToken, &state.service, took);
-        self.report_progress(request, Progress::Begun, out);
+        self.report_progress(request, Progress::AnswerStarted, out);
     }
 
     /// A whole answer has gone to the caller.
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -339,7 +339,7 @@
             request,
         };
         match progress {
-            Progress::Begun => self.job_begun(now, &id),
+            Progress::AnswerStarted => self.job_begun(now, &id),
             Progress::Over => self.job_over(&id),
             Progress::Failed(ran, cause) => self.job_failed(now, &id, ran, cause),
         }
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -182,7 +182,7 @@
             self.want(number, usize::MAX, 1);
         } else {
             self.scheduler
-                .update_progress(self.now, vm, request, Progress::Begun);
+                .update_progress(self.now, vm, request, Progress::AnswerStarted);
             self.scheduler
                 .update_progress(self.now, vm, request, Progress::Over);
         }
@@ -225,7 +225,7 @@
         scheduler.want(number, adapters, 1);
         scheduler.step();
         while seen < scheduler.placed.len() {
-            scheduler.tell(seen, Progress::Begun);
+            scheduler.tell(seen, Progress::AnswerStarted);
             seen += 1;
         }
         while over + RUNS < scheduler.placed.len() {
@@ -384,7 +384,7 @@
     for number in 1..=5 {
         fixture.want(number, 6, 1);
         fixture.run(Span::from_secs(1));
-        fixture.tell(number - 1, Progress::Begun);
+        fixture.tell(number - 1, Progress::AnswerStarted);
         fixture.tell(number - 1, Progress::Over);
     }
     let running = Running {
