--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -215,7 +215,7 @@
                 }
                 Some(Next::Over(vm, request)) => {
                     self.scheduler
-                        .update_progress(self.now, &vm, request, Progress::Over);
+                        .update_progress(self.now, &vm, request, Progress::Finished);
                 }
                 Some(Next::Ordered(order)) => {
                     self.scheduler
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -77,7 +77,7 @@
     /// Its first event came.
     AnswerStarted,
     /// It is over.
-    Over,
+    Finished,
     /// Its server failed it.
     Failed(Ran, Cause),
 }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -329,7 +329,7 @@
             row.health.record_success(self.now);
         }
         self.answered_whole(request, out);
-        self.end(request, Progress::Over, out);
+        self.end(request, Progress::Finished, out);
     }
 
     /// The caller has left.
@@ -342,7 +342,7 @@
             if state.server().is_none() && state.ran == 0 {
                 self.refund(request);
             }
-            self.end(request, Progress::Over, out);
+            self.end(request, Progress::Finished, out);
         }
     }
 
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -127,14 +127,14 @@
         let in_time = state.ends.since(self.now) > TOO_LATE && state.sends < MAX_SENDS;
         let quarantined = self.quarantine.left(state.call.fingerprint, self.now);
         match cause {
-            _ if cut => self.end(request, Progress::Over, out),
+            _ if cut => self.end(request, Progress::Finished, out),
             _ if quarantined.is_some() => {
                 self.refuse_request(request, quarantined, RefusalDetail::Quarantined, out);
             }
             _ if may && in_time && self.spend(request) => self.find_server(request, out),
             Cause::Status(_) => {
                 out.push(Effect::Request(request, Verdict::Deliver));
-                self.end(request, Progress::Over, out);
+                self.end(request, Progress::Finished, out);
             }
             _ => self.refuse_request(request, Some(COME_BACK), RefusalDetail::SendFailed, out),
         }
@@ -191,7 +191,7 @@
         if !ran {
             self.refund(request);
         }
-        self.end(request, Progress::Over, out);
+        self.end(request, Progress::Finished, out);
     }
 
     /// The scheduler can't serve a request in time.
@@ -246,7 +246,7 @@
         if ran == 0 {
             self.refund(request);
         }
-        self.end(request, Progress::Over, out);
+        self.end(request, Progress::Finished, out);
     }
 }
 
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -340,7 +340,7 @@
         };
         match progress {
             Progress::AnswerStarted => self.job_begun(now, &id),
-            Progress::Over => self.job_over(&id),
+            Progress::Finished => self.job_over(&id),
             Progress::Failed(ran, cause) => self.job_failed(now, &id, ran, cause),
         }
     }
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -184,7 +184,7 @@
             self.scheduler
                 .update_progress(self.now, vm, request, Progress::AnswerStarted);
             self.scheduler
-                .update_progress(self.now, vm, request, Progress::Over);
+                .update_progress(self.now, vm, request, Progress::Finished);
         }
     }
 
@@ -229,7 +229,7 @@
             seen += 1;
         }
         while over + RUNS < scheduler.placed.len() {
-            scheduler.tell(over, Progress::Over);
+            scheduler.tell(over, Progress::Finished);
             over += 1;
         }
         scheduler.run(PAUSE);
@@ -385,7 +385,7 @@
         fixture.want(number, 6, 1);
         fixture.run(Span::from_secs(1));
         fixture.tell(number - 1, Progress::AnswerStarted);
-        fixture.tell(number - 1, Progress::Over);
+        fixture.tell(number - 1, Progress::Finished);
     }
     let running = Running {
         request: 1,
