--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -188,7 +188,7 @@
     /// A time asked for by [`crate::Gateway::wake`] has come.
     Tick,
     /// A caller's request has been read.
-    Arrived(RequestId, Box<Call>),
+    RequestArrived(RequestId, Box<Call>),
     /// The caller has left.
     Gone(RequestId),
     /// The first piece of an answer has come.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -266,7 +266,7 @@
         match event {
             Event::Start => self.start(out),
             Event::Tick => {}
-            Event::Arrived(request, call) => self.handle_request(request, *call, out),
+            Event::RequestArrived(request, call) => self.handle_request(request, *call, out),
             Event::Gone(request) => self.handle_caller_left(request, out),
             Event::Begun(request) => self.handle_answer_started(request, out),
             Event::Completed(request, pause) => self.handle_answer_completed(request, pause, out),
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -466,7 +466,7 @@
         if self.hosts[vm].gateway.is_none() {
             self.asked.get_mut(&number).expect("just put").ended = Some((self.now, Answer::Lost));
         }
-        self.deliver(vm, Event::Arrived(number, Box::new(call)));
+        self.deliver(vm, Event::RequestArrived(number, Box::new(call)));
         number
     }
 
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -46,7 +46,7 @@
         id,
         done: false,
     };
-    hub.post(Event::Arrived(id, Box::new(call)));
+    hub.post(Event::RequestArrived(id, Box::new(call)));
     let asked = Asked {
         ticket,
         head,
