--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -190,7 +190,7 @@
     /// A caller's request has been read.
     RequestArrived(RequestId, Box<Call>),
     /// The caller has left.
-    Gone(RequestId),
+    CallerLeft(RequestId),
     /// The first piece of an answer has come.
     Begun(RequestId),
     /// The answer is complete, with the longest pause between two pieces of it.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -267,7 +267,7 @@
             Event::Start => self.start(out),
             Event::Tick => {}
             Event::RequestArrived(request, call) => self.handle_request(request, *call, out),
-            Event::Gone(request) => self.handle_caller_left(request, out),
+            Event::CallerLeft(request) => self.handle_caller_left(request, out),
             Event::Begun(request) => self.handle_answer_started(request, out),
             Event::Completed(request, pause) => self.handle_answer_completed(request, pause, out),
             Event::Failed(request, ran, cause) => {
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -527,7 +527,7 @@
     /// The caller of a request leaves.
     pub fn leave(&mut self, number: u64) {
         let vm = self.asked[&number].vm;
-        self.deliver(vm, Event::Gone(number));
+        self.deliver(vm, Event::CallerLeft(number));
     }
 
     /// Lets time pass.
--- a/crates/shell/src/hub.rs
+++ b/crates/shell/src/hub.rs
@@ -164,7 +164,7 @@
     fn drop(&mut self) {
         self.hub.close(self.id);
         if !self.done {
-            self.hub.post(Event::Gone(self.id));
+            self.hub.post(Event::CallerLeft(self.id));
         }
     }
 }
