--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -192,7 +192,7 @@
     /// The caller has left.
     CallerLeft(RequestId),
     /// The first piece of an answer has come.
-    Begun(RequestId),
+    AnswerStarted(RequestId),
     /// The answer is complete, with the longest pause between two pieces of it.
     Completed(RequestId, Span),
     /// The server did not answer well.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -268,7 +268,7 @@
             Event::Tick => {}
             Event::RequestArrived(request, call) => self.handle_request(request, *call, out),
             Event::CallerLeft(request) => self.handle_caller_left(request, out),
-            Event::Begun(request) => self.handle_answer_started(request, out),
+            Event::AnswerStarted(request) => self.handle_answer_started(request, out),
             Event::Completed(request, pause) => self.handle_answer_completed(request, pause, out),
             Event::Failed(request, ran, cause) => {
                 self.handle_attempt_failed(request, ran, cause, out)
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -286,7 +286,7 @@
         let answer = |event| Act::Answer(number, server.clone(), event);
         let completed = answer(Event::Completed(number, Span::ZERO));
         if call.work.is_some() || !crashes {
-            self.at(begun + WAY, answer(Event::Begun(number)));
+            self.at(begun + WAY, answer(Event::AnswerStarted(number)));
         }
         if crashes {
             let fall = Act::Fall(server, call.fingerprint);
@@ -352,7 +352,7 @@
     pub(super) fn record(&mut self, vm: usize, event: &Event) {
         let now = self.now;
         match event {
-            Event::Begun(number) => {
+            Event::AnswerStarted(number) => {
                 if let Some(asked) = self.asked.get_mut(number).filter(|a| a.ended.is_none()) {
                     asked.ended = Some((now, Answer::Served(now)));
                 }
--- a/crates/shell/src/stream.rs
+++ b/crates/shell/src/stream.rs
@@ -173,7 +173,7 @@
         };
         if !*begun {
             *begun = true;
-            asked.ticket.hub.post(Event::Begun(asked.ticket.id));
+            asked.ticket.hub.post(Event::AnswerStarted(asked.ticket.id));
         }
         if pieces.send(Piece::Data(whole)).await.is_err() {
             return Part::Left;
