--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -194,7 +194,7 @@
     /// The first piece of an answer has come.
     AnswerStarted(RequestId),
     /// The answer is complete, with the longest pause between two pieces of it.
-    Completed(RequestId, Span),
+    AnswerCompleted(RequestId, Span),
     /// The server did not answer well.
     Failed(RequestId, Ran, Cause),
     /// An order came back.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -269,7 +269,9 @@
             Event::RequestArrived(request, call) => self.handle_request(request, *call, out),
             Event::CallerLeft(request) => self.handle_caller_left(request, out),
             Event::AnswerStarted(request) => self.handle_answer_started(request, out),
-            Event::Completed(request, pause) => self.handle_answer_completed(request, pause, out),
+            Event::AnswerCompleted(request, pause) => {
+                self.handle_answer_completed(request, pause, out)
+            }
             Event::Failed(request, ran, cause) => {
                 self.handle_attempt_failed(request, ran, cause, out)
             }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -284,7 +284,7 @@
         };
         self.running.insert(number, run);
         let answer = |event| Act::Answer(number, server.clone(), event);
-        let completed = answer(Event::Completed(number, Span::ZERO));
+        let completed = answer(Event::AnswerCompleted(number, Span::ZERO));
         if call.work.is_some() || !crashes {
             self.at(begun + WAY, answer(Event::AnswerStarted(number)));
         }
@@ -357,7 +357,7 @@
                     asked.ended = Some((now, Answer::Served(now)));
                 }
             }
-            Event::Completed(number, _) => {
+            Event::AnswerCompleted(number, _) => {
                 if let Some(asked) = self.asked.get_mut(number) {
                     let begun = match &asked.ended {
                         Some((_, Answer::Served(begun))) => *begun,
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -132,7 +132,7 @@
             return;
         };
         let (vm, start) = run.vm;
-        if matches!(event, Event::Completed(..)) {
+        if matches!(event, Event::AnswerCompleted(..)) {
             self.running.remove(&number);
         }
         if self.hosts[vm].start == start {
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -111,7 +111,7 @@
         };
         match tried {
             Tried::Whole(response) => {
-                self.ticket.finish(Event::Completed(id, Span::ZERO));
+                self.ticket.finish(Event::AnswerCompleted(id, Span::ZERO));
                 Step::Answer(response)
             }
             Tried::Stream(head, body, connection) => {
--- a/crates/shell/src/stream.rs
+++ b/crates/shell/src/stream.rs
@@ -117,7 +117,9 @@
                     let _ = pieces.send(Piece::Data(rest)).await;
                 }
                 let _ = pieces.send(Piece::End).await;
-                asked.ticket.finish(Event::Completed(id, events.pause()));
+                asked
+                    .ticket
+                    .finish(Event::AnswerCompleted(id, events.pause()));
                 return;
             }
             Part::Left => return,
