--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -196,7 +196,7 @@
     /// The answer is complete, with the longest pause between two pieces of it.
     AnswerCompleted(RequestId, Span),
     /// The server did not answer well.
-    Failed(RequestId, Ran, Cause),
+    AttemptFailed(RequestId, Ran, Cause),
     /// An order came back.
     Ordered(OrderId, Ordered),
     /// An answer says something of its server, or says no more what an earlier one did.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -272,7 +272,7 @@
             Event::AnswerCompleted(request, pause) => {
                 self.handle_answer_completed(request, pause, out)
             }
-            Event::Failed(request, ran, cause) => {
+            Event::AttemptFailed(request, ran, cause) => {
                 self.handle_attempt_failed(request, ran, cause, out)
             }
             Event::Ordered(order, outcome) => self.handle_order_outcome(order, outcome, out),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -215,7 +215,7 @@
         };
         asked.arrivals += 1;
         let call = asked.call.clone();
-        let failed = |ran, cause| Event::Failed(number, ran, cause);
+        let failed = |ran, cause| Event::AttemptFailed(number, ran, cause);
         let Some((engine, _)) = self.servers.get_mut(&send.server).filter(|(e, _)| e.up) else {
             self.at(
                 now + WAY,
@@ -379,7 +379,7 @@
                 self.at(now + WAY, Act::Arrive(vm, start, number, *send));
             }
             Effect::Request(number, Verdict::Send(_)) => {
-                let event = Event::Failed(number, Ran::No, Cause::Unreachable);
+                let event = Event::AttemptFailed(number, Ran::No, Cause::Unreachable);
                 self.at(now + Span::from_millis(400), Act::Event(vm, start, event));
             }
             Effect::Request(number, verdict) => {
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -117,7 +117,7 @@
                 asked.ended = (!resumable).then_some((self.now, Answer::Cut));
             }
         }
-        let event = Event::Failed(number, Ran::Maybe, Cause::Broken);
+        let event = Event::AttemptFailed(number, Ran::Maybe, Cause::Broken);
         self.at(self.now + WAY, Act::Event(run.vm.0, run.vm.1, event));
     }
 
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -118,7 +118,7 @@
                 Step::Stream(Box::new((head, body, connection)))
             }
             Tried::Failed(ran, cause, response) => {
-                hub.post(Event::Failed(id, ran, cause));
+                hub.post(Event::AttemptFailed(id, ran, cause));
                 Step::Failed(response)
             }
         }
--- a/crates/shell/src/stream.rs
+++ b/crates/shell/src/stream.rs
@@ -134,7 +134,7 @@
         asked
             .ticket
             .hub
-            .post(Event::Failed(id, Ran::Maybe, Cause::Broken));
+            .post(Event::AttemptFailed(id, Ran::Maybe, Cause::Broken));
         if !send.resumable {
             asked.ticket.done = true;
             return;
@@ -202,8 +202,8 @@
         };
         match tried {
             Tried::Stream(head, body, connection) => return Some((head, body, connection)),
-            Tried::Whole(_) => hub.post(Event::Failed(id, Ran::Yes, Cause::Malformed)),
-            Tried::Failed(ran, cause, _) => hub.post(Event::Failed(id, ran, cause)),
+            Tried::Whole(_) => hub.post(Event::AttemptFailed(id, Ran::Yes, Cause::Malformed)),
+            Tried::Failed(ran, cause, _) => hub.post(Event::AttemptFailed(id, ran, cause)),
         }
     }
 }
