--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -198,7 +198,7 @@
     /// The server did not answer well.
     AttemptFailed(RequestId, Ran, Cause),
     /// An order came back.
-    Ordered(OrderId, Ordered),
+    OrderAnswered(OrderId, Ordered),
     /// An answer says something of its server, or says no more what an earlier one did.
     Noticed(Server, Notice),
     /// A server's report, or none where it gave none.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -275,7 +275,7 @@
             Event::AttemptFailed(request, ran, cause) => {
                 self.handle_attempt_failed(request, ran, cause, out)
             }
-            Event::Ordered(order, outcome) => self.handle_order_outcome(order, outcome, out),
+            Event::OrderAnswered(order, outcome) => self.handle_order_outcome(order, outcome, out),
             Event::Noticed(server, notice) => self.handle_notice(&server, notice, out),
             Event::Reported(server, report) => self.handle_report(&server, report.as_ref()),
             Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -200,7 +200,7 @@
             }
             self.at(
                 now + WAY,
-                Act::Event(vm, start, Event::Ordered(id, outcome)),
+                Act::Event(vm, start, Event::OrderAnswered(id, outcome)),
             );
         }
     }
@@ -428,7 +428,7 @@
         if late || !self.hosts[vm].net {
             self.at(
                 now + order.patience,
-                Act::Event(vm, start, Event::Ordered(id, Ordered::Unknown)),
+                Act::Event(vm, start, Event::OrderAnswered(id, Ordered::Unknown)),
             );
             if late {
                 let delay = Span::from_millis(self.rng.random_range(2_000..12_000));
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -135,7 +135,7 @@
                     .order(hub.client.clone(), server.clone(), address, order);
                 tokio::task::spawn_local(async move {
                     let outcome = hub.heard(&server, answer).await;
-                    hub.post(Event::Ordered(id, outcome));
+                    hub.post(Event::OrderAnswered(id, outcome));
                 });
             }
             Effect::Probe(server, address) => {
