--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -200,7 +200,7 @@
     /// An order came back.
     OrderAnswered(OrderId, Ordered),
     /// An answer says something of its server, or says no more what an earlier one did.
-    Noticed(Server, Notice),
+    NoticeReceived(Server, Notice),
     /// A server's report, or none where it gave none.
     Reported(Server, Option<Report>),
     /// A server was asked whether it takes connections.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -276,7 +276,7 @@
                 self.handle_attempt_failed(request, ran, cause, out)
             }
             Event::OrderAnswered(order, outcome) => self.handle_order_outcome(order, outcome, out),
-            Event::Noticed(server, notice) => self.handle_notice(&server, notice, out),
+            Event::NoticeReceived(server, notice) => self.handle_notice(&server, notice, out),
             Event::Reported(server, report) => self.handle_report(&server, report.as_ref()),
             Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
             Event::Store(op, outcome) => self.answered(op, outcome, out),
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -190,7 +190,7 @@
             None => !notice.is_empty(),
         };
         if told && self.hosts[vm].start == start {
-            self.deliver(vm, Event::Noticed(server, notice));
+            self.deliver(vm, Event::NoticeReceived(server, notice));
         }
     }
 
--- a/crates/shell/src/hub.rs
+++ b/crates/shell/src/hub.rs
@@ -87,7 +87,7 @@
             None => says,
         };
         if told {
-            self.post(Event::Noticed(server.clone(), notice));
+            self.post(Event::NoticeReceived(server.clone(), notice));
         }
     }
 
