--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -202,7 +202,7 @@
     /// An answer says something of its server, or says no more what an earlier one did.
     NoticeReceived(Server, Notice),
     /// A server's report, or none where it gave none.
-    Reported(Server, Option<Report>),
+    ReportReceived(Server, Option<Report>),
     /// A server was asked whether it takes connections.
     Probed(Server, Presence),
     /// A call of the key-value service came back.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -277,7 +277,7 @@
             }
             Event::OrderAnswered(order, outcome) => self.handle_order_outcome(order, outcome, out),
             Event::NoticeReceived(server, notice) => self.handle_notice(&server, notice, out),
-            Event::Reported(server, report) => self.handle_report(&server, report.as_ref()),
+            Event::ReportReceived(server, report) => self.handle_report(&server, report.as_ref()),
             Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
             Event::Store(op, outcome) => self.answered(op, outcome, out),
             Event::Peer(from, message) => self.heard(&from, message, out),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -65,7 +65,7 @@
                 }
                 self.at(
                     now + WAY,
-                    Act::Event(vm, start, Event::Reported(server, report)),
+                    Act::Event(vm, start, Event::ReportReceived(server, report)),
                 );
             }
             Act::Peer(from, to, message) => {
@@ -403,7 +403,7 @@
             Effect::Report(server, _) => {
                 self.at(
                     now + Span::from_millis(300),
-                    Act::Event(vm, start, Event::Reported(server, None)),
+                    Act::Event(vm, start, Event::ReportReceived(server, None)),
                 );
             }
             Effect::Peer(address, _, message) => {
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -153,7 +153,7 @@
                     .report(hub.client.clone(), server.clone(), address);
                 tokio::task::spawn_local(async move {
                     let report = hub.heard(&server, answer).await;
-                    hub.post(Event::Reported(server, report));
+                    hub.post(Event::ReportReceived(server, report));
                 });
             }
         }
