--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -206,7 +206,7 @@
     /// A server was asked whether it takes connections.
     Probed(Server, Presence),
     /// A call of the key-value service came back.
-    Store(OpId, Outcome),
+    KvAnswered(OpId, Outcome),
     /// A message from another VM.
     Peer(Vm, Message),
     /// A link to another VM could not be made or broke.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -279,7 +279,7 @@
             Event::NoticeReceived(server, notice) => self.handle_notice(&server, notice, out),
             Event::ReportReceived(server, report) => self.handle_report(&server, report.as_ref()),
             Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
-            Event::Store(op, outcome) => self.answered(op, outcome, out),
+            Event::KvAnswered(op, outcome) => self.answered(op, outcome, out),
             Event::Peer(from, message) => self.heard(&from, message, out),
             Event::PeerDown(address, fault) => self.peer_down(address, fault, out),
             Event::Reloaded(tuning) => self.reloaded(tuning, out),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -113,7 +113,7 @@
 
     pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: Op) {
         if self.hosts[vm].silent {
-            let event = Event::Store(op, Outcome::Unknown);
+            let event = Event::KvAnswered(op, Outcome::Unknown);
             self.at(self.now + SILENT_CALL, Act::Event(vm, start, event));
             return;
         }
@@ -125,7 +125,7 @@
         };
         if let Some(outcome) = outcome {
             let at = self.now + STORE_WAY + self.lag(vm, &outcome);
-            self.at(at, Act::Event(vm, start, Event::Store(op, outcome)));
+            self.at(at, Act::Event(vm, start, Event::KvAnswered(op, outcome)));
         }
         self.wake_watchers();
     }
@@ -159,7 +159,7 @@
             let lag = self.lag(vm, &outcome);
             (outcome, self.now + STORE_WAY + lag)
         };
-        self.at(at, Act::Event(vm, start, Event::Store(op, outcome)));
+        self.at(at, Act::Event(vm, start, Event::KvAnswered(op, outcome)));
     }
 
     pub(super) fn lag(&self, vm: usize, outcome: &Outcome) -> Span {
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -162,6 +162,6 @@
     fn call_store(&self, id: u64, op: Op) {
         let hub = self.hub.clone();
         let answer = hub.dialect.store(hub.client.clone(), op);
-        tokio::task::spawn_local(async move { hub.post(Event::Store(id, answer.await)) });
+        tokio::task::spawn_local(async move { hub.post(Event::KvAnswered(id, answer.await)) });
     }
 }
