--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -208,7 +208,7 @@
     /// A call of the key-value service came back.
     KvAnswered(OpId, Outcome),
     /// A message from another VM.
-    Peer(Vm, Message),
+    PeerMessage(Vm, Message),
     /// A link to another VM could not be made or broke.
     PeerDown(SocketAddr, Fault),
     /// The settings file was read again: its figures, or why it can't be used.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -280,7 +280,7 @@
             Event::ReportReceived(server, report) => self.handle_report(&server, report.as_ref()),
             Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
             Event::KvAnswered(op, outcome) => self.answered(op, outcome, out),
-            Event::Peer(from, message) => self.heard(&from, message, out),
+            Event::PeerMessage(from, message) => self.heard(&from, message, out),
             Event::PeerDown(address, fault) => self.peer_down(address, fault, out),
             Event::Reloaded(tuning) => self.reloaded(tuning, out),
             Event::Stop => self.stop(out),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -73,7 +73,7 @@
                 let linked = self.hosts[to].peers && self.hosts[from].peers;
                 let linked = linked && self.hosts[to].side == self.hosts[from].side;
                 if linked && self.hosts[to].net && self.hosts[to].gateway.is_some() {
-                    self.deliver(to, Event::Peer(sender, message));
+                    self.deliver(to, Event::PeerMessage(sender, message));
                 } else if self.hosts[from].net {
                     let down = Event::PeerDown(setup::address(1, to), Fault::Unreachable);
                     self.deliver(from, down);
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -152,7 +152,7 @@
 impl<D: Dialect> Sink for Peers<D> {
     fn take(&self, from: Vm, _: Incarnation, batch: &[u8]) {
         for message in dahliastile_gateway::message::decode(batch).unwrap_or_default() {
-            self.hub.post(Event::Peer(from.clone(), message));
+            self.hub.post(Event::PeerMessage(from.clone(), message));
         }
     }
 }
