--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -212,7 +212,7 @@
     /// A link to another VM could not be made or broke.
     PeerDown(SocketAddr, Fault),
     /// The settings file was read again: its figures, or why it can't be used.
-    Reloaded(Result<Box<Tuning>, String>),
+    SettingsReloaded(Result<Box<Tuning>, String>),
     /// The process is to stop.
     Stop,
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -282,7 +282,7 @@
             Event::KvAnswered(op, outcome) => self.answered(op, outcome, out),
             Event::PeerMessage(from, message) => self.heard(&from, message, out),
             Event::PeerDown(address, fault) => self.peer_down(address, fault, out),
-            Event::Reloaded(tuning) => self.reloaded(tuning, out),
+            Event::SettingsReloaded(tuning) => self.reloaded(tuning, out),
             Event::Stop => self.stop(out),
         }
     }
--- a/crates/shell/src/run.rs
+++ b/crates/shell/src/run.rs
@@ -95,7 +95,9 @@
     let reloader = hub.clone();
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
-            reloader.post(Event::Reloaded(reloader.dialect.reload().map(Box::new)));
+            reloader.post(Event::SettingsReloaded(
+                reloader.dialect.reload().map(Box::new),
+            ));
         }
     });
     let stopper = hub.clone();
