--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -17,7 +17,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Backend, ResidentModel};
 use dahliastile_gateway::config::{Application, Engine, Model};
-use dahliastile_gateway::event::{Ordered, Report, RequestId, Work};
+use dahliastile_gateway::event::{OrderOutcome, Report, RequestId, Work};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::{PlacementRequest, Progress};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
@@ -46,7 +46,7 @@
 enum Next {
     Begun(Vm, RequestId),
     Over(Vm, RequestId),
-    Ordered(u64),
+    OrderOutcome(u64),
     Reported(Server),
 }
 
@@ -217,9 +217,9 @@
                     self.scheduler
                         .update_progress(self.now, &vm, request, Progress::Finished);
                 }
-                Some(Next::Ordered(order)) => {
+                Some(Next::OrderOutcome(order)) => {
                     self.scheduler
-                        .handle_order_outcome(self.now, order, Ordered::Accepted);
+                        .handle_order_outcome(self.now, order, OrderOutcome::Accepted);
                 }
                 Some(Next::Reported(server)) => {
                     let report = Report {
@@ -250,7 +250,7 @@
                 self.later(FIRST + ANSWER, Next::Over(vm, request));
             }
             Decision::Refuse(..) => cost.refused += 1,
-            Decision::Order(id, ..) => self.later(Span::from_millis(3), Next::Ordered(id)),
+            Decision::Order(id, ..) => self.later(Span::from_millis(3), Next::OrderOutcome(id)),
             Decision::QueryReport(server, _) => {
                 self.later(Span::from_millis(3), Next::Reported(server));
             }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -99,7 +99,7 @@
 
 /// How an order came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
     /// What it asks for holds already.
@@ -198,7 +198,7 @@
     /// The server did not answer well.
     AttemptFailed(RequestId, Ran, Cause),
     /// An order came back.
-    OrderAnswered(OrderId, Ordered),
+    OrderAnswered(OrderId, OrderOutcome),
     /// An answer says something of its server, or says no more what an earlier one did.
     NoticeReceived(Server, Notice),
     /// A server's report, or none where it gave none.
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -37,7 +37,7 @@
 use crate::cluster::snapshot::{Backend, Version};
 use crate::config::{Application, Engine as Shape};
 use crate::effect::{Order, OrderId};
-use crate::event::{Ordered, Report, RequestId, Work};
+use crate::event::{OrderOutcome, Report, RequestId, Work};
 use crate::feature::Feature;
 use crate::message::{EngineResidents, PlacementRequest, Progress, Running};
 use crate::request::health::{Health, deprioritized};
@@ -378,7 +378,12 @@
     }
 
     /// An order came back. Says whether a server has seen a higher fencing number.
-    pub fn handle_order_outcome(&mut self, now: Instant, order: OrderId, outcome: Ordered) -> bool {
+    pub fn handle_order_outcome(
+        &mut self,
+        now: Instant,
+        order: OrderId,
+        outcome: OrderOutcome,
+    ) -> bool {
         self.dirty = true;
         self.order_answered(now, order, outcome)
     }
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -6,7 +6,7 @@
 
 use crate::cluster::snapshot::{Backend, Version};
 use crate::effect::{Effects, OrderId};
-use crate::event::{Ordered, Report, RequestId};
+use crate::event::{OrderOutcome, Report, RequestId};
 use crate::message::{PlacementRequest, Progress, Running};
 use crate::node::Gateway;
 
@@ -93,7 +93,7 @@
     pub(crate) fn handle_order_outcome(
         &mut self,
         order: OrderId,
-        outcome: Ordered,
+        outcome: OrderOutcome,
         out: &mut Effects,
     ) {
         let now = self.now;
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -11,7 +11,7 @@
 use super::key::Keys;
 use super::{Decision, Scheduler};
 use crate::effect::{Order, OrderId};
-use crate::event::{Ordered, Report};
+use crate::event::{OrderOutcome, Report};
 
 /// How often an order without an answer is sent before the engine counts as dead for a while.
 const TRIES: u32 = 3;
@@ -148,7 +148,12 @@
     }
 
     /// An order came back. Says whether the engine has seen a higher fencing number.
-    pub(crate) fn order_answered(&mut self, now: Instant, id: OrderId, outcome: Ordered) -> bool {
+    pub(crate) fn order_answered(
+        &mut self,
+        now: Instant,
+        id: OrderId,
+        outcome: OrderOutcome,
+    ) -> bool {
         let (load_time, back_time) = (self.load_time, self.back_time());
         let sent = |engine: &Engine| engine.pending.as_ref().is_some_and(|p| p.id == id);
         let found = self.engines.iter_mut().find(|(_, engine)| sent(engine));
@@ -166,8 +171,8 @@
         self.notes.push(Record::new(Code::OrderAnswered, detail));
         engine.last_order = now;
         match (outcome, &pending.intent) {
-            (Ordered::Fenced, _) => return true,
-            (Ordered::Accepted, Intent::Load(key, _)) => {
+            (OrderOutcome::Fenced, _) => return true,
+            (OrderOutcome::Accepted, Intent::Load(key, _)) => {
                 engine.orders += 1;
                 self.remembering.touch(server, &mut engine.recent, *key);
                 if let Some(place) = engine.places.get_mut(key) {
@@ -175,22 +180,22 @@
                     place.stage = Stage::Coming(now + time);
                 }
             }
-            (Ordered::Accepted, Intent::Base(_)) => engine.orders += 1,
-            (Ordered::Holds, Intent::Unload(key)) => {
+            (OrderOutcome::Accepted, Intent::Base(_)) => engine.orders += 1,
+            (OrderOutcome::Holds, Intent::Unload(key)) => {
                 engine.orders += 1;
                 engine.places.remove(key);
                 engine.kept.unloaded(*key);
             }
-            (Ordered::Holds, Intent::Load(key, _)) => {
+            (OrderOutcome::Holds, Intent::Load(key, _)) => {
                 if let Some(place) = engine.places.get_mut(key) {
                     place.stage = Stage::Ready;
                 }
             }
-            (Ordered::Unknown | Ordered::NotSent, _) if engine.tries < TRIES => {
+            (OrderOutcome::Unknown | OrderOutcome::NotSent, _) if engine.tries < TRIES => {
                 engine.queue.push_front(pending.intent);
                 return false;
             }
-            (Ordered::Unknown | Ordered::NotSent, _) => {
+            (OrderOutcome::Unknown | OrderOutcome::NotSent, _) => {
                 engine.health.record_connection_failure(now);
                 engine.forget();
             }
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::effect::Order;
-use dahliastile_gateway::event::{Cause, Ordered, Ran};
+use dahliastile_gateway::event::{Cause, OrderOutcome, Ran};
 use dahliastile_gateway::message::{PlacementRequest, Progress, Running};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
 use dahliastile_gateway::settings::Tuning;
@@ -61,7 +61,7 @@
     /// Orders that were answered too late to be heard.
     unheard: usize,
     /// Answers to orders that are still on their way.
-    answers: Vec<(Instant, u64, Ordered)>,
+    answers: Vec<(Instant, u64, OrderOutcome)>,
     /// Reports that were asked for.
     reports: usize,
 }
@@ -144,9 +144,9 @@
     /// An order is accepted; an adapter that nothing uses is unloaded at once.
     fn carry_out(&mut self, id: u64, server: Server, order: Order) {
         let outcome = if order.load {
-            Ordered::Accepted
+            OrderOutcome::Accepted
         } else {
-            Ordered::Holds
+            OrderOutcome::Holds
         };
         if let (Some(store), Some(adapter), true) = (&mut self.store, order.adapter, order.load) {
             store.load(self.now, server, adapter);
@@ -155,7 +155,7 @@
             true => {
                 self.unheard += 1;
                 let given_up = self.now + order.patience;
-                self.answers.push((given_up, id, Ordered::Unknown));
+                self.answers.push((given_up, id, OrderOutcome::Unknown));
             }
             false if self.late > Span::ZERO => {
                 self.answers.push((self.now + self.late, id, outcome));
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Resident, ResidentModel};
 use dahliastile_gateway::effect::Order;
-use dahliastile_gateway::event::{Ordered, Report};
+use dahliastile_gateway::event::{OrderOutcome, Report};
 
 use super::setup::MODEL;
 
@@ -118,22 +118,22 @@
     }
 
     /// Carries an order out.
-    pub fn order(&mut self, now: Instant, newest: u64, order: &Order) -> Ordered {
+    pub fn order(&mut self, now: Instant, newest: u64, order: &Order) -> OrderOutcome {
         match order {
             _ if order.fence < self.fence => {
                 self.late_fence = Some((now, order.fence));
-                return Ordered::Fenced;
+                return OrderOutcome::Fenced;
             }
-            _ if order.expected != self.orders => return Ordered::Conflict,
+            _ if order.expected != self.orders => return OrderOutcome::Conflict,
             _ => self.fence = order.fence,
         }
         let Some(adapter) = &order.adapter else {
             self.orders += 1;
             self.base = Some(now + Span::from_millis(720));
-            return Ordered::Accepted;
+            return OrderOutcome::Accepted;
         };
         if self.base.is_none_or(|at| at > now) {
-            return Ordered::Invalid;
+            return OrderOutcome::Invalid;
         }
         self.fences.push((now, order.fence));
         let outcome = if order.load {
@@ -141,18 +141,18 @@
         } else {
             self.unload(now, adapter)
         };
-        if outcome != Ordered::Conflict {
+        if outcome != OrderOutcome::Conflict {
             self.orders += 1;
         }
         outcome
     }
 
-    fn load(&mut self, now: Instant, adapter: &Arc<str>, version: u64) -> Ordered {
+    fn load(&mut self, now: Instant, adapter: &Arc<str>, version: u64) -> OrderOutcome {
         let busy = self.slots.get(adapter).map_or(now, |slot| slot.busy);
         if !self.slots.contains_key(adapter) && self.slots.len() >= self.places {
             self.crash = Some(format!("{} loaded over {} places", adapter, self.places));
             self.up = false;
-            return Ordered::Unknown;
+            return OrderOutcome::Unknown;
         }
         self.loads += 1;
         let near = self.beside.contains(adapter);
@@ -168,7 +168,7 @@
                 busy,
             },
         );
-        Ordered::Accepted
+        OrderOutcome::Accepted
     }
 
     fn keep_beside(&mut self, adapter: &Arc<str>) {
@@ -178,12 +178,12 @@
         self.beside.drain(..over);
     }
 
-    fn unload(&mut self, now: Instant, adapter: &Arc<str>) -> Ordered {
+    fn unload(&mut self, now: Instant, adapter: &Arc<str>) -> OrderOutcome {
         match self.slots.get(adapter) {
-            Some(slot) if slot.busy > now => Ordered::Accepted,
+            Some(slot) if slot.busy > now => OrderOutcome::Accepted,
             _ => {
                 self.slots.remove(adapter);
-                Ordered::Holds
+                OrderOutcome::Holds
             }
         }
     }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -7,7 +7,7 @@
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
 use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
-use dahliastile_gateway::event::{Cause, Event, Fault, Ordered, Outcome, Ran};
+use dahliastile_gateway::event::{Cause, Event, Fault, OrderOutcome, Outcome, Ran};
 use rand::Rng;
 
 use super::fall::{Arrival, CRASHES_AFTER, Run};
@@ -192,10 +192,10 @@
             .unwrap_or(0);
         let outcome = match self.servers.get_mut(server) {
             Some((engine, _)) if engine.up => engine.order(now, newest, order),
-            _ => Ordered::Unknown,
+            _ => OrderOutcome::Unknown,
         };
         if !silent {
-            if outcome != Ordered::Unknown {
+            if outcome != OrderOutcome::Unknown {
                 self.head_in(WAY, (vm, start), server, now.back(WAY));
             }
             self.at(
@@ -428,7 +428,7 @@
         if late || !self.hosts[vm].net {
             self.at(
                 now + order.patience,
-                Act::Event(vm, start, Event::OrderAnswered(id, Ordered::Unknown)),
+                Act::Event(vm, start, Event::OrderAnswered(id, OrderOutcome::Unknown)),
             );
             if late {
                 let delay = Span::from_millis(self.rng.random_range(2_000..12_000));
--- a/crates/shell/src/dialect.rs
+++ b/crates/shell/src/dialect.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
 use dahliastile_gateway::effect::{Op, Order, Reason, Send};
-use dahliastile_gateway::event::{Call, Cause, Ordered, Outcome, Report};
+use dahliastile_gateway::event::{Call, Cause, OrderOutcome, Outcome, Report};
 use dahliastile_gateway::request::notice::Notice;
 use dahliastile_gateway::settings::Tuning;
 use http::{Request, Response, request, response};
@@ -88,7 +88,7 @@
         server: Server,
         address: SocketAddr,
         order: Order,
-    ) -> impl Future<Output = (Ordered, Option<Notice>)> + 'static;
+    ) -> impl Future<Output = (OrderOutcome, Option<Notice>)> + 'static;
 
     /// Asks a server for its report, none where it gave none; with what its answer says of it, where one came.
     fn report(
