--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -17,7 +17,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Backend, ResidentModel};
 use dahliastile_gateway::config::{Application, Engine, Model};
-use dahliastile_gateway::event::{OrderOutcome, Report, RequestId, Work};
+use dahliastile_gateway::event::{InferenceSpec, OrderOutcome, Report, RequestId};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::{PlacementRequest, Progress};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
@@ -179,7 +179,7 @@
             let want = PlacementRequest {
                 request: self.last,
                 id: format!("{:016x}", self.last).into(),
-                work: Work {
+                work: InferenceSpec {
                     model: "base".into(),
                     adapter: Some(format!("a{adapter}").into()),
                     prompt: PROMPT,
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -24,7 +24,7 @@
 
 /// What a request asks an engine for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct InferenceSpec {
     /// The base model.
     pub model: Arc<str>,
     /// The adapter of it, where one is named.
@@ -58,7 +58,7 @@
     /// How long the caller waits.
     pub patience: Option<Span>,
     /// What it asks an engine for; none for a plain service.
-    pub work: Option<Work>,
+    pub work: Option<InferenceSpec>,
     /// The key that it bears; none where it bears none, several, or one that can't be any.
     pub key: Option<Key>,
     /// The tokens that it names.
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -8,7 +8,7 @@
 use crate::account::Tokens;
 use crate::account::quota::{TokenGrant, TokenRequest};
 use crate::cluster::snapshot::{Change, Member, Resident, Revision, Version};
-use crate::event::{Cause, Ran, RequestId, Work};
+use crate::event::{Cause, InferenceSpec, Ran, RequestId};
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Rate;
 use crate::request::quarantine::{CrashReport, QuarantineStatus};
@@ -21,7 +21,7 @@
     /// The caller's id of it, for the log.
     pub id: Arc<str>,
     /// What it asks for.
-    pub work: Work,
+    pub work: InferenceSpec,
     /// How long it has waited already.
     pub waited: Span,
     /// The time within which its first event is of full use, from its arrival.
@@ -44,7 +44,7 @@
     /// Where it runs.
     pub server: Server,
     /// What it asks for.
-    pub work: Work,
+    pub work: InferenceSpec,
 }
 
 /// What one engine holds, as its scheduler believes.
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -37,7 +37,7 @@
 use crate::cluster::snapshot::{Backend, Version};
 use crate::config::{Application, Engine as Shape};
 use crate::effect::{Order, OrderId};
-use crate::event::{OrderOutcome, Report, RequestId, Work};
+use crate::event::{InferenceSpec, OrderOutcome, Report, RequestId};
 use crate::feature::Feature;
 use crate::message::{EngineResidents, PlacementRequest, Progress, Running};
 use crate::request::health::{Health, deprioritized};
@@ -427,7 +427,7 @@
     }
 
     /// The adapter that work names, if any.
-    fn key_of(&mut self, work: &Work) -> Option<Key> {
+    fn key_of(&mut self, work: &InferenceSpec) -> Option<Key> {
         let adapter = work.adapter.as_ref()?;
         Some(self.keys.key(&work.model, adapter))
     }
--- a/crates/gateway/src/scheduler/job.rs
+++ b/crates/gateway/src/scheduler/job.rs
@@ -8,7 +8,7 @@
 use rustc_hash::FxHashMap;
 
 use super::key::Key;
-use crate::event::{RequestId, Work};
+use crate::event::{InferenceSpec, RequestId};
 use crate::message::{PlacementRequest, Running};
 
 /// A request of a VM.
@@ -42,7 +42,7 @@
     /// The caller's id of it; empty for one that ran already when the scheduler began.
     pub(crate) id: Arc<str>,
     /// What it asks for.
-    pub(crate) work: Work,
+    pub(crate) work: InferenceSpec,
     /// The adapter that it needs, where it names one.
     pub(crate) key: Option<Key>,
     /// When it arrived at its VM.
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -10,7 +10,7 @@
 use dahliastile_gateway::config::{
     Application, Config, Engine, Kind, Limits, Model, Route, Target,
 };
-use dahliastile_gateway::event::{Call, Report, Work};
+use dahliastile_gateway::event::{Call, InferenceSpec, Report};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use dahliastile_gateway::settings::{Settings, Tuning};
@@ -128,8 +128,8 @@
 }
 
 /// What a draft asks of an engine.
-pub fn work(adapter: &str, prompt: u32, output: u32) -> Work {
-    Work {
+pub fn work(adapter: &str, prompt: u32, output: u32) -> InferenceSpec {
+    InferenceSpec {
         model: MODEL.into(),
         adapter: Some(adapter.into()),
         prompt,
@@ -152,7 +152,7 @@
 }
 
 /// A request.
-pub fn call(id: &str, path: &str, patience: u64, work: Option<Work>) -> Call {
+pub fn call(id: &str, path: &str, patience: u64, work: Option<InferenceSpec>) -> Call {
     Call {
         id: id.into(),
         host: "host.example".to_owned(),
