--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -182,7 +182,7 @@
                 work: InferenceSpec {
                     model: "base".into(),
                     adapter: Some(format!("a{adapter}").into()),
-                    prompt: PROMPT,
+                    prompt_tokens: PROMPT,
                     output: 80,
                     parts: Arc::default(),
                 },
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -30,7 +30,7 @@
     /// The adapter of it, where one is named.
     pub adapter: Option<Arc<str>>,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The largest number of tokens asked for.
     pub output: u32,
     /// The parts of the prompt, in order.
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -206,7 +206,7 @@
         let open = |engine: &&Engine| engine.cooldown.allows(now, &id.vm);
         let holders: Vec<&Engine> = holders.filter(open).collect();
         let least = holders.iter().map(|engine| engine.reads(job)).min();
-        let reads = least.unwrap_or(job.work.prompt);
+        let reads = least.unwrap_or(job.work.prompt_tokens);
         let first = !ahead.tokens.contains_key(&key);
         let tokens = ahead.tokens.entry(key).or_default();
         let before = std::mem::replace(tokens, *tokens + u64::from(reads));
--- a/crates/gateway/src/scheduler/reservations.rs
+++ b/crates/gateway/src/scheduler/reservations.rs
@@ -47,7 +47,7 @@
         let mut claims = Claims::default();
         for job in waits.iter().filter_map(|wait| self.jobs.get(&wait.id)) {
             if let Some(key) = job.key.filter(|_| job.waits()) {
-                claims.add(key, u64::from(job.work.prompt));
+                claims.add(key, u64::from(job.work.prompt_tokens));
             }
         }
         claims
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -128,11 +128,11 @@
 }
 
 /// What a draft asks of an engine.
-pub fn work(adapter: &str, prompt: u32, output: u32) -> InferenceSpec {
+pub fn work(adapter: &str, prompt_tokens: u32, output: u32) -> InferenceSpec {
     InferenceSpec {
         model: MODEL.into(),
         adapter: Some(adapter.into()),
-        prompt,
+        prompt_tokens,
         output,
         parts: Arc::default(),
     }
@@ -161,7 +161,7 @@
         key: None,
         tokens: work
             .as_ref()
-            .map(|w| Tokens(u64::from(w.prompt + w.output))),
+            .map(|w| Tokens(u64::from(w.prompt_tokens + w.output))),
         work,
         fingerprint: Fingerprint::of([path.as_bytes(), id.as_bytes()]),
     }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -241,7 +241,9 @@
         let times = match &call.work {
             None => Some((now + PLAIN_WORK, now + PLAIN_WORK)),
             Some(work) => match &work.adapter {
-                Some(adapter) => engine.draft(now, adapter, send.version, work.prompt, work.output),
+                Some(adapter) => {
+                    engine.draft(now, adapter, send.version, work.prompt_tokens, work.output)
+                }
                 None => Some((now, now)),
             },
         };
