--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -183,7 +183,7 @@
                     model: "base".into(),
                     adapter: Some(format!("a{adapter}").into()),
                     prompt_tokens: PROMPT,
-                    output: 80,
+                    max_output_tokens: 80,
                     parts: Arc::default(),
                 },
                 waited: Span::from_millis(1),
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -32,7 +32,7 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// The largest number of tokens asked for.
-    pub output: u32,
+    pub max_output_tokens: u32,
     /// The parts of the prompt, in order.
     pub parts: Arc<[Part]>,
 }
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -128,12 +128,12 @@
 }
 
 /// What a draft asks of an engine.
-pub fn work(adapter: &str, prompt_tokens: u32, output: u32) -> InferenceSpec {
+pub fn work(adapter: &str, prompt_tokens: u32, max_output_tokens: u32) -> InferenceSpec {
     InferenceSpec {
         model: MODEL.into(),
         adapter: Some(adapter.into()),
         prompt_tokens,
-        output,
+        max_output_tokens,
         parts: Arc::default(),
     }
 }
@@ -161,7 +161,7 @@
         key: None,
         tokens: work
             .as_ref()
-            .map(|w| Tokens(u64::from(w.prompt_tokens + w.output))),
+            .map(|w| Tokens(u64::from(w.prompt_tokens + w.max_output_tokens))),
         work,
         fingerprint: Fingerprint::of([path.as_bytes(), id.as_bytes()]),
     }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -241,9 +241,13 @@
         let times = match &call.work {
             None => Some((now + PLAIN_WORK, now + PLAIN_WORK)),
             Some(work) => match &work.adapter {
-                Some(adapter) => {
-                    engine.draft(now, adapter, send.version, work.prompt_tokens, work.output)
-                }
+                Some(adapter) => engine.draft(
+                    now,
+                    adapter,
+                    send.version,
+                    work.prompt_tokens,
+                    work.max_output_tokens,
+                ),
                 None => Some((now, now)),
             },
         };
