--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -184,7 +184,7 @@
                     adapter: Some(format!("a{adapter}").into()),
                     prompt_tokens: PROMPT,
                     max_output_tokens: 80,
-                    parts: Arc::default(),
+                    prompt_parts: Arc::default(),
                 },
                 waited: Span::from_millis(1),
                 objective: Span::from_millis(1_000),
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -34,7 +34,7 @@
     /// The largest number of tokens asked for.
     pub max_output_tokens: u32,
     /// The parts of the prompt, in order.
-    pub parts: Arc<[Part]>,
+    pub prompt_parts: Arc<[Part]>,
 }
 
 /// A part of a prompt. Requests share parts; the last one belongs to the request itself or to its session.
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -131,7 +131,7 @@
         };
         if self.settings.uses(Feature::KeptParts) {
             let kept = &mut engine.kept;
-            kept.read(key, &job.work.parts, self.shape.tokens);
+            kept.read(key, &job.work.prompt_parts, self.shape.tokens);
         }
         if let Some(place) = engine.places.get_mut(&key) {
             place.used += 1;
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -259,7 +259,9 @@
 
     /// The prompt tokens of a request that it would have to read: those that it does not keep.
     pub(crate) fn reads(&self, job: &Job) -> u32 {
-        let kept = job.key.map_or(0, |key| self.kept.of(key, &job.work.parts));
+        let kept = job
+            .key
+            .map_or(0, |key| self.kept.of(key, &job.work.prompt_parts));
         job.work.prompt_tokens.saturating_sub(kept)
     }
 
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -134,7 +134,7 @@
         adapter: Some(adapter.into()),
         prompt_tokens,
         max_output_tokens,
-        parts: Arc::default(),
+        prompt_parts: Arc::default(),
     }
 }
 
