--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -34,12 +34,12 @@
     /// The largest number of tokens asked for.
     pub max_output_tokens: u32,
     /// The parts of the prompt, in order.
-    pub prompt_parts: Arc<[Part]>,
+    pub prompt_parts: Arc<[PromptPart]>,
 }
 
 /// A part of a prompt. Requests share parts; the last one belongs to the request itself or to its session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct PromptPart {
     /// Its id, the same wherever the same text stands.
     pub id: u64,
     /// Its tokens.
--- a/crates/gateway/src/scheduler/prefix_cache.rs
+++ b/crates/gateway/src/scheduler/prefix_cache.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 use super::key::Key;
-use crate::event::Part;
+use crate::event::PromptPart;
 
 /// The part of an engine's memory that is taken to be left for kept parts: the rest holds the requests that run, some 25
 /// of 2,500 tokens each at a busy engine.
@@ -29,7 +29,7 @@
 
 impl Kept {
     /// How many tokens of a prompt are kept, from its begin on.
-    pub(crate) fn of(&self, key: Key, parts: &[Part]) -> u32 {
+    pub(crate) fn of(&self, key: Key, parts: &[PromptPart]) -> u32 {
         let rows = parts.iter().map(|part| self.rows.get(&(key, part.id)));
         rows.map_while(|row| row.map(|(tokens, _)| tokens)).sum()
     }
@@ -40,7 +40,7 @@
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss
     )]
-    pub(crate) fn read(&mut self, key: Key, parts: &[Part], memory: u64) {
+    pub(crate) fn read(&mut self, key: Key, parts: &[PromptPart], memory: u64) {
         // The first part is of use as long as any other is, so it is used last.
         for part in parts.iter().rev() {
             self.last += 1;
