--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -17,7 +17,7 @@
 use self::key::Key;
 use crate::config::{Config, Route};
 use crate::effect::{Effects, Reason};
-use crate::event::{Call, RequestId};
+use crate::event::{CallerRequest, RequestId};
 use crate::node::Gateway;
 use crate::request::state::refusal;
 
@@ -143,7 +143,7 @@
     pub(crate) fn identify(
         &self,
         route: &Route,
-        call: &Call,
+        call: &CallerRequest,
     ) -> Result<Option<Arc<Account>>, Reason> {
         let accounts = self.index.accounts();
         let account = call.key.as_ref().and_then(|key| accounts.find(key));
@@ -159,7 +159,7 @@
     pub(crate) fn refuse_unidentified(
         &self,
         request: RequestId,
-        call: &Call,
+        call: &CallerRequest,
         reason: Reason,
         out: &mut Effects,
     ) {
--- a/crates/gateway/src/config/startup_queue.rs
+++ b/crates/gateway/src/config/startup_queue.rs
@@ -10,7 +10,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::effect::{Effects, Reason};
-use crate::event::{Call, RequestId};
+use crate::event::{CallerRequest, RequestId};
 use crate::node::Gateway;
 use crate::request::state::refusal;
 use crate::timer::Timer;
@@ -27,7 +27,7 @@
     /// Until when requests are held.
     until: Instant,
     /// The requests, each with when it came.
-    calls: BTreeMap<RequestId, (Instant, Call)>,
+    calls: BTreeMap<RequestId, (Instant, CallerRequest)>,
 }
 
 impl State {
@@ -37,7 +37,7 @@
     }
 
     /// The caller of a request is gone. Gives what it had asked, if that was held.
-    pub(crate) fn remove(&mut self, request: RequestId) -> Option<(Instant, Call)> {
+    pub(crate) fn remove(&mut self, request: RequestId) -> Option<(Instant, CallerRequest)> {
         self.calls.remove(&request)
     }
 }
@@ -50,7 +50,12 @@
     }
 
     /// A request came, and no configuration is known.
-    pub(crate) fn queue_at_startup(&mut self, request: RequestId, call: Call, out: &mut Effects) {
+    pub(crate) fn queue_at_startup(
+        &mut self,
+        request: RequestId,
+        call: CallerRequest,
+        out: &mut Effects,
+    ) {
         if self.now < self.startup_queue.until {
             self.startup_queue.calls.insert(request, (self.now, call));
         } else {
@@ -78,7 +83,7 @@
         }
     }
 
-    fn refuse_unconfigured(request: RequestId, call: &Call, out: &mut Effects) {
+    fn refuse_unconfigured(request: RequestId, call: &CallerRequest, out: &mut Effects) {
         Self::log(out, Code::Refused, format!("id={} why=no_config", call.id));
         out.push(refusal(request, Reason::NoConfig, Some(COME_BACK)));
     }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -48,7 +48,7 @@
 
 /// A caller's request, without its body.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct CallerRequest {
     /// The caller's own id of it.
     pub id: Arc<str>,
     /// The host that it names.
@@ -188,7 +188,7 @@
     /// A time asked for by [`crate::Gateway::wake`] has come.
     Tick,
     /// A caller's request has been read.
-    RequestArrived(RequestId, Box<Call>),
+    RequestArrived(RequestId, Box<CallerRequest>),
     /// The caller has left.
     CallerLeft(RequestId),
     /// The first piece of an answer has come.
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -17,7 +17,7 @@
 use crate::cluster::snapshot::Version;
 use crate::config::{Kind, Route, Target};
 use crate::effect::{Effect, Effects, Reason, Send, Verdict};
-use crate::event::{Call, RequestId};
+use crate::event::{CallerRequest, RequestId};
 use crate::measure;
 use crate::message::{PlacementRequest, Progress};
 use crate::node::Gateway;
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(crate) struct RequestState {
     /// What the caller asks.
-    pub(crate) call: Call,
+    pub(crate) call: CallerRequest,
     /// Its route, as it was at the arrival.
     pub(crate) route: Arc<Route>,
     /// The client account that it is for.
@@ -88,7 +88,7 @@
 
 impl RequestState {
     fn new(
-        call: Call,
+        call: CallerRequest,
         account: Option<Arc<Account>>,
         route: Arc<Route>,
         service: Service,
@@ -147,7 +147,12 @@
 
 impl Gateway {
     /// A caller's request has been read.
-    pub(crate) fn handle_request(&mut self, request: RequestId, call: Call, out: &mut Effects) {
+    pub(crate) fn handle_request(
+        &mut self,
+        request: RequestId,
+        call: CallerRequest,
+        out: &mut Effects,
+    ) {
         match self.config {
             Some(_) => self.admit(request, call, self.now, out),
             None => self.queue_at_startup(request, call, out),
@@ -158,7 +163,7 @@
     pub(crate) fn admit(
         &mut self,
         request: RequestId,
-        call: Call,
+        call: CallerRequest,
         came: Instant,
         out: &mut Effects,
     ) {
@@ -187,7 +192,7 @@
     }
 
     /// Refuses a request that no route fits.
-    fn refuse_unrouted(&self, request: RequestId, call: &Call, out: &mut Effects) {
+    fn refuse_unrouted(&self, request: RequestId, call: &CallerRequest, out: &mut Effects) {
         let version = self.version();
         let detail = format!(
             "id={} why=no_route config={version} host={} path={}",
@@ -346,7 +351,7 @@
         }
     }
 
-    fn log_left(&self, call: &Call, came: Instant, out: &mut Effects) {
+    fn log_left(&self, call: &CallerRequest, came: Instant, out: &mut Effects) {
         let after = self.now.since(came);
         let detail = format!("id={} after={after}", call.id);
         Self::log(out, Code::CallerLeft, detail);
--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -9,7 +9,7 @@
 use dahliastile_gateway::account::key::{Key, LONGEST};
 use dahliastile_gateway::config::{Config, Route};
 use dahliastile_gateway::effect::Reason;
-use dahliastile_gateway::event::Call;
+use dahliastile_gateway::event::CallerRequest;
 use quickcheck::{Gen, QuickCheck};
 use support::accounts::{account, call, config, key, tuning};
 use support::setup::{self, name};
@@ -34,7 +34,7 @@
 }
 
 /// How a call at a VM came out.
-fn outcome(world: &mut World, vm: usize, call: Call) -> Answer {
+fn outcome(world: &mut World, vm: usize, call: CallerRequest) -> Answer {
     let number = world.ask(vm, call);
     world.run(Span::from_millis(500));
     let answer = world.answer(number).cloned();
@@ -65,7 +65,7 @@
 #[test]
 fn key_unknownisrefused() {
     let mut world = warm();
-    let without = Call {
+    let without = CallerRequest {
         key: None,
         ..call("r", "any")
     };
@@ -106,7 +106,7 @@
     world.run(IN_FORCE);
     let number = world.ask(
         0,
-        Call {
+        CallerRequest {
             key: None,
             ..call("r", "any")
         },
@@ -131,7 +131,7 @@
     assert!(served(&outcome(
         &mut world,
         0,
-        Call {
+        CallerRequest {
             key: None,
             ..call("r", "any")
         }
@@ -203,7 +203,7 @@
     };
     world.configure(config(3, vec![Arc::new(first)]));
     world.run(IN_FORCE);
-    let draft = Call {
+    let draft = CallerRequest {
         key: Some(key("key-n1")),
         ..setup::draft("r", "a1")
     };
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -14,7 +14,7 @@
 use dahliastile_core::time::Span;
 use dahliastile_gateway::cluster::snapshot::{EntryKey, EntryValue};
 use dahliastile_gateway::effect::Reason;
-use dahliastile_gateway::event::Call;
+use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use rand::Rng;
 use support::series::{CONTACT, Series, VMS, seeds};
@@ -27,14 +27,14 @@
 const REPEATED: Span = Span::from_millis(700);
 
 /// A request that crashes its servers: the same each time but for its id.
-fn crashing(world: &mut World, path: &str, at: usize) -> Call {
+fn crashing(world: &mut World, path: &str, at: usize) -> CallerRequest {
     // One of the adapters of a quiet night, or of as many others.
     let adapter = path.bytes().map(usize::from).sum::<usize>() % 24;
     let drafted = || work(&format!("a{adapter}"), 600, 15);
     let work = path.starts_with("/plan/").then(drafted);
     let fingerprint = Fingerprint::of([path.as_bytes()]);
     world.crashing.fingerprints.insert(fingerprint);
-    Call {
+    CallerRequest {
         fingerprint,
         ..call(&format!("c{at}"), path, 5_000, work)
     }
@@ -88,7 +88,7 @@
 }
 
 /// One of so many requests for a long answer, which come again and again; it may go on at another server.
-fn long(at: usize, kinds: usize, adapters: usize) -> Call {
+fn long(at: usize, kinds: usize, adapters: usize) -> CallerRequest {
     let (id, adapter) = (format!("l{}", at % kinds), format!("a{}", at % adapters));
     call(&id, "/berth/x", 8_000, Some(work(&adapter, 600, 400)))
 }
@@ -369,7 +369,7 @@
         world.wake_watchers();
         world.run(Span::from_secs(1));
         let work = work("a3", 600, 15);
-        let ask = |at: usize| Call {
+        let ask = |at: usize| CallerRequest {
             fingerprint,
             ..call(&format!("m{at}"), "/plan/crash", 5_000, Some(work.clone()))
         };
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::event::Call;
+use dahliastile_gateway::event::CallerRequest;
 use support::World;
 use support::setup::{call, work};
 
@@ -12,7 +12,7 @@
 }
 
 /// A request for the busiest adapter: 2,400 tokens.
-fn busy(at: usize) -> Call {
+fn busy(at: usize) -> CallerRequest {
     let work = work("a1", 2_400, 20);
     call(&format!("r{at}"), "/plan/x", 5_000, Some(work))
 }
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -8,7 +8,7 @@
 use dahliastile_gateway::account::key::Key;
 use dahliastile_gateway::account::{Account, Limit, Rate, Tokens, Unit};
 use dahliastile_gateway::config::Config;
-use dahliastile_gateway::event::Call;
+use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::settings::Tuning;
 
 use super::setup::{self, name};
@@ -62,8 +62,8 @@
 }
 
 /// A request to the plain service that bears a key.
-pub fn call(id: &str, text: &str) -> Call {
-    Call {
+pub fn call(id: &str, text: &str) -> CallerRequest {
+    CallerRequest {
         key: Some(key(text)),
         tokens: Some(COST),
         ..setup::call(id, "/query/x", 1_500, None)
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -10,7 +10,7 @@
 use dahliastile_gateway::config::{
     Application, Config, Engine, Kind, Limits, Model, Route, Target,
 };
-use dahliastile_gateway::event::{Call, InferenceSpec, Report};
+use dahliastile_gateway::event::{CallerRequest, InferenceSpec, Report};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use dahliastile_gateway::settings::{Settings, Tuning};
@@ -139,12 +139,12 @@
 }
 
 /// A short draft by an adapter, as most tests ask for.
-pub fn draft(id: &str, adapter: &str) -> Call {
+pub fn draft(id: &str, adapter: &str) -> CallerRequest {
     call(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
 }
 
 /// One of many requests: three in four are drafts by sixty adapters in turn, the others for the plain service.
-pub fn mixed(at: usize) -> Call {
+pub fn mixed(at: usize) -> CallerRequest {
     match at % 4 {
         0 => call(&format!("q{at}"), "/query/x", 2_000, None),
         _ => draft(&format!("r{at}"), &format!("a{}", at * 7 % 60)),
@@ -152,8 +152,8 @@
 }
 
 /// A request.
-pub fn call(id: &str, path: &str, patience: u64, work: Option<InferenceSpec>) -> Call {
-    Call {
+pub fn call(id: &str, path: &str, patience: u64, work: Option<InferenceSpec>) -> CallerRequest {
+    CallerRequest {
         id: id.into(),
         host: "host.example".to_owned(),
         path: path.to_owned(),
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -14,7 +14,7 @@
 use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::effect::{Op, Order, Reason, Send};
-use dahliastile_gateway::event::{Call, Event};
+use dahliastile_gateway::event::{CallerRequest, Event};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::Message;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct Asked {
     /// What it asked.
-    pub call: Call,
+    pub call: CallerRequest,
     /// The VM.
     pub vm: usize,
     /// When.
@@ -446,7 +446,7 @@
     }
 
     /// Sends a request to a VM and gives its number.
-    pub fn ask(&mut self, vm: usize, call: Call) -> u64 {
+    pub fn ask(&mut self, vm: usize, call: CallerRequest) -> u64 {
         self.seq += 1;
         let number = self.seq;
         self.asked.insert(
@@ -471,7 +471,12 @@
     }
 
     /// Sends requests at a steady pace, each to the next VM in turn where that one runs, and gives their numbers.
-    pub fn ask_all(&mut self, count: usize, pause: Span, call: impl Fn(usize) -> Call) -> Vec<u64> {
+    pub fn ask_all(
+        &mut self,
+        count: usize,
+        pause: Span,
+        call: impl Fn(usize) -> CallerRequest,
+    ) -> Vec<u64> {
         let mut numbers = Vec::new();
         for at in 0..count {
             let vm = at % self.hosts.len();
--- a/crates/shell/src/dialect.rs
+++ b/crates/shell/src/dialect.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
 use dahliastile_gateway::effect::{Op, Order, Reason, Send};
-use dahliastile_gateway::event::{Call, Cause, OrderOutcome, Outcome, Report};
+use dahliastile_gateway::event::{CallerRequest, Cause, OrderOutcome, Outcome, Report};
 use dahliastile_gateway::request::notice::Notice;
 use dahliastile_gateway::settings::Tuning;
 use http::{Request, Response, request, response};
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// Where the head can't be served by any configuration.
-    fn call(&self, head: &request::Parts, body: &[u8]) -> Result<Call, Rejection>;
+    fn call(&self, head: &request::Parts, body: &[u8]) -> Result<CallerRequest, Rejection>;
 
     /// The answer to a request that was not taken in.
     fn rejected(&self, rejection: Rejection) -> Response<Bytes>;
