--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -69,7 +69,7 @@
 
 /// Whether a request has run at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ran {
+pub enum Execution {
     /// It has not and will not: no byte was sent, or the server says so.
     No,
     /// It may have.
@@ -196,7 +196,7 @@
     /// The answer is complete, with the longest pause between two pieces of it.
     AnswerCompleted(RequestId, Span),
     /// The server did not answer well.
-    AttemptFailed(RequestId, Ran, Cause),
+    AttemptFailed(RequestId, Execution, Cause),
     /// An order came back.
     OrderAnswered(OrderId, OrderOutcome),
     /// An answer says something of its server, or says no more what an earlier one did.
--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use crate::effect::Effects;
-use crate::event::{Cause, Ran, RequestId};
+use crate::event::{Cause, Execution, RequestId};
 use crate::message::{Message, Progress};
 use crate::node::Gateway;
 
@@ -55,7 +55,11 @@
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.failed.push(server.clone());
         }
-        self.report_progress(request, Progress::Failed(Ran::No, Cause::Declined), out);
+        self.report_progress(
+            request,
+            Progress::Failed(Execution::No, Cause::Declined),
+            out,
+        );
         self.request_placement(request, out);
     }
 
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -8,7 +8,7 @@
 use super::Phase;
 use crate::config::Kind;
 use crate::effect::{Effect, Effects, Reason, Verdict};
-use crate::event::{Cause, Ran, RequestId};
+use crate::event::{Cause, Execution, RequestId};
 use crate::measure;
 use crate::message::Progress;
 use crate::node::Gateway;
@@ -72,7 +72,7 @@
     pub(crate) fn handle_attempt_failed(
         &mut self,
         request: RequestId,
-        ran: Ran,
+        ran: Execution,
         cause: Cause,
         out: &mut Effects,
     ) {
@@ -84,7 +84,7 @@
             return;
         };
         state.failed.push(server.clone());
-        state.ran += u32::from(ran != Ran::No);
+        state.ran += u32::from(ran != Execution::No);
         if let Some(row) = self.servers.get_mut(&server) {
             row.open = row.open.saturating_sub(1);
             judge(&mut row.health, cause, now);
@@ -97,7 +97,7 @@
                 state.call.id, state.call.fingerprint
             ),
         );
-        if ran != Ran::No && cause == Cause::Broken {
+        if ran != Execution::No && cause == Cause::Broken {
             let (fingerprint, sent) = (state.call.fingerprint, state.sent);
             self.suspect(&server, fingerprint, sent, out);
         }
@@ -113,7 +113,7 @@
     fn after_failure(
         &mut self,
         request: RequestId,
-        ran: Ran,
+        ran: Execution,
         cause: Cause,
         begun: bool,
         out: &mut Effects,
@@ -122,7 +122,7 @@
             return;
         };
         let kind = state.route.kind;
-        let may = ran == Ran::No || kind.idempotent() && state.ran < state.route.attempts;
+        let may = ran == Execution::No || kind.idempotent() && state.ran < state.route.attempts;
         let cut = begun && kind != Kind::Resumable && kind != Kind::Safe;
         let in_time = state.ends.since(self.now) > TOO_LATE && state.sends < MAX_SENDS;
         let quarantined = self.quarantine.left(state.call.fingerprint, self.now);
--- a/crates/shell/src/attempt.rs
+++ b/crates/shell/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dahliastile_gateway::effect::Send;
-use dahliastile_gateway::event::{Cause, Ran};
+use dahliastile_gateway::event::{Cause, Execution};
 use http::{Response, request, response};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -22,7 +22,7 @@
     /// A stream has begun.
     Stream(response::Parts, Incoming, Connection),
     /// The server failed the request; with its own failure, where that can be passed on.
-    Failed(Ran, Cause, Option<Response<Bytes>>),
+    Failed(Execution, Cause, Option<Response<Bytes>>),
 }
 
 /// Sends a request to a server; where a stream goes on, after the event with this id.
@@ -40,16 +40,16 @@
     let at = Instant::now();
     let (response, connection) = match hub.pool.send(send.address, request).await {
         Ok(begun) => begun,
-        Err(Fault::NotSent) => return Tried::Failed(Ran::No, Cause::Unreachable, None),
-        Err(Fault::Malformed) => return Tried::Failed(Ran::Maybe, Cause::Malformed, None),
+        Err(Fault::NotSent) => return Tried::Failed(Execution::No, Cause::Unreachable, None),
+        Err(Fault::Malformed) => return Tried::Failed(Execution::Maybe, Cause::Malformed, None),
         Err(Fault::Broken | Fault::Timeout) => {
-            return Tried::Failed(Ran::Maybe, Cause::Broken, None);
+            return Tried::Failed(Execution::Maybe, Cause::Broken, None);
         }
     };
     let (answer, body) = response.into_parts();
     hub.notice(&send.server, at, hub.dialect.notice(&answer));
     match hub.dialect.reply(head, &answer) {
-        Reply::Foreign => Tried::Failed(Ran::Maybe, Cause::Malformed, None),
+        Reply::Foreign => Tried::Failed(Execution::Maybe, Cause::Malformed, None),
         Reply::Answer if send.stream => Tried::Stream(answer, body, connection),
         reply => settle(hub, reply, answer, body, connection).await,
     }
@@ -70,13 +70,15 @@
             let builder = hub.dialect.answer(&answer);
             builder.body(read.to_bytes()).ok()
         }
-        (Err(_), Reply::NotRun(cause)) => return Tried::Failed(Ran::No, cause, None),
-        (Err(_), _) => return Tried::Failed(Ran::Maybe, Cause::Broken, None),
+        (Err(_), Reply::NotRun(cause)) => return Tried::Failed(Execution::No, cause, None),
+        (Err(_), _) => return Tried::Failed(Execution::Maybe, Cause::Broken, None),
     };
     match (reply, whole) {
-        (Reply::NotRun(cause), _) => Tried::Failed(Ran::No, cause, None),
-        (Reply::Failure(status), whole) => Tried::Failed(Ran::Yes, Cause::Status(status), whole),
+        (Reply::NotRun(cause), _) => Tried::Failed(Execution::No, cause, None),
+        (Reply::Failure(status), whole) => {
+            Tried::Failed(Execution::Yes, Cause::Status(status), whole)
+        }
         (_, Some(whole)) => Tried::Whole(whole),
-        (_, None) => Tried::Failed(Ran::Maybe, Cause::Malformed, None),
+        (_, None) => Tried::Failed(Execution::Maybe, Cause::Malformed, None),
     }
 }
