--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -80,7 +80,7 @@
 
 /// Why a server did not answer a request well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum FailureCause {
     /// No connection could be made.
     Unreachable,
     /// The connection broke.
@@ -196,7 +196,7 @@
     /// The answer is complete, with the longest pause between two pieces of it.
     AnswerCompleted(RequestId, Span),
     /// The server did not answer well.
-    AttemptFailed(RequestId, Execution, Cause),
+    AttemptFailed(RequestId, Execution, FailureCause),
     /// An order came back.
     OrderAnswered(OrderId, OrderOutcome),
     /// An answer says something of its server, or says no more what an earlier one did.
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -8,7 +8,7 @@
 use crate::account::Tokens;
 use crate::account::quota::{TokenGrant, TokenRequest};
 use crate::cluster::snapshot::{Change, Member, Resident, Revision, Version};
-use crate::event::{Cause, Execution, InferenceSpec, RequestId};
+use crate::event::{Execution, FailureCause, InferenceSpec, RequestId};
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Rate;
 use crate::request::quarantine::{CrashReport, QuarantineStatus};
@@ -79,7 +79,7 @@
     /// It is over.
     Finished,
     /// Its server failed it.
-    Failed(Execution, Cause),
+    Failed(Execution, FailureCause),
 }
 
 /// A message.
--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use crate::effect::Effects;
-use crate::event::{Cause, Execution, RequestId};
+use crate::event::{Execution, FailureCause, RequestId};
 use crate::message::{Message, Progress};
 use crate::node::Gateway;
 
@@ -57,7 +57,7 @@
         }
         self.report_progress(
             request,
-            Progress::Failed(Execution::No, Cause::Declined),
+            Progress::Failed(Execution::No, FailureCause::Declined),
             out,
         );
         self.request_placement(request, out);
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -8,7 +8,7 @@
 use super::Phase;
 use crate::config::Kind;
 use crate::effect::{Effect, Effects, Reason, Verdict};
-use crate::event::{Cause, Execution, RequestId};
+use crate::event::{Execution, FailureCause, RequestId};
 use crate::measure;
 use crate::message::Progress;
 use crate::node::Gateway;
@@ -73,7 +73,7 @@
         &mut self,
         request: RequestId,
         ran: Execution,
-        cause: Cause,
+        cause: FailureCause,
         out: &mut Effects,
     ) {
         let now = self.now;
@@ -97,7 +97,7 @@
                 state.call.id, state.call.fingerprint
             ),
         );
-        if ran != Execution::No && cause == Cause::Broken {
+        if ran != Execution::No && cause == FailureCause::Broken {
             let (fingerprint, sent) = (state.call.fingerprint, state.sent);
             self.suspect(&server, fingerprint, sent, out);
         }
@@ -114,7 +114,7 @@
         &mut self,
         request: RequestId,
         ran: Execution,
-        cause: Cause,
+        cause: FailureCause,
         begun: bool,
         out: &mut Effects,
     ) {
@@ -132,7 +132,7 @@
                 self.refuse_request(request, quarantined, RefusalDetail::Quarantined, out);
             }
             _ if may && in_time && self.spend(request) => self.find_server(request, out),
-            Cause::Status(_) => {
+            FailureCause::Status(_) => {
                 out.push(Effect::Request(request, Verdict::Deliver));
                 self.end(request, Progress::Finished, out);
             }
@@ -254,10 +254,10 @@
     Effect::Request(request, Verdict::Refuse(reason, after))
 }
 
-fn judge(health: &mut Health, cause: Cause, now: Instant) {
+fn judge(health: &mut Health, cause: FailureCause, now: Instant) {
     match cause {
-        Cause::Unreachable | Cause::Broken => health.record_connection_failure(now),
-        Cause::Malformed | Cause::Status(_) => health.record_failure(now),
-        Cause::Full | Cause::Missing | Cause::Declined => {}
+        FailureCause::Unreachable | FailureCause::Broken => health.record_connection_failure(now),
+        FailureCause::Malformed | FailureCause::Status(_) => health.record_failure(now),
+        FailureCause::Full | FailureCause::Missing | FailureCause::Declined => {}
     }
 }
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -8,7 +8,7 @@
 use super::job::{Job, JobId, State};
 use super::residency::Spread;
 use super::{Decision, Scheduler};
-use crate::event::{Cause, Execution};
+use crate::event::{Execution, FailureCause};
 use crate::feature::Feature;
 
 /// The cost of another availability zone, as a time: bytes between zones cost about a twentieth of a plan's worth, which
@@ -197,7 +197,13 @@
     }
 
     /// An engine failed a request.
-    pub(crate) fn job_failed(&mut self, now: Instant, id: &JobId, ran: Execution, cause: Cause) {
+    pub(crate) fn job_failed(
+        &mut self,
+        now: Instant,
+        id: &JobId,
+        ran: Execution,
+        cause: FailureCause,
+    ) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -214,8 +220,8 @@
         };
         match cause {
             // It says nothing of its adapters.
-            Cause::Full if engine.cooldown.turns_away() => {}
-            Cause::Missing | Cause::Full if ran == Execution::No => {
+            FailureCause::Full if engine.cooldown.turns_away() => {}
+            FailureCause::Missing | FailureCause::Full if ran == Execution::No => {
                 let place = key.and_then(|key| engine.places.get_mut(&key));
                 match place {
                     // It was rejected before the order that is to bring the adapter, or after the one that takes it away.
@@ -239,9 +245,11 @@
                     _ => engine.forget(),
                 }
             }
-            Cause::Missing | Cause::Full | Cause::Declined => {}
-            Cause::Unreachable | Cause::Broken => engine.health.record_connection_failure(now),
-            Cause::Malformed | Cause::Status(_) => engine.health.record_failure(now),
+            FailureCause::Missing | FailureCause::Full | FailureCause::Declined => {}
+            FailureCause::Unreachable | FailureCause::Broken => {
+                engine.health.record_connection_failure(now)
+            }
+            FailureCause::Malformed | FailureCause::Status(_) => engine.health.record_failure(now),
         }
     }
 
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::effect::Order;
-use dahliastile_gateway::event::{Cause, Execution, OrderOutcome};
+use dahliastile_gateway::event::{Execution, FailureCause, OrderOutcome};
 use dahliastile_gateway::message::{PlacementRequest, Progress, Running};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
 use dahliastile_gateway::settings::Tuning;
@@ -175,7 +175,7 @@
         let adapter = self.asked[&request].clone();
         if store.ends[&(server, adapter)] > self.now {
             store.rejected += 1;
-            let failed = Progress::Failed(Execution::No, Cause::Missing);
+            let failed = Progress::Failed(Execution::No, FailureCause::Missing);
             self.scheduler
                 .update_progress(self.now, vm, request, failed);
             let number = usize::try_from(request).expect("small");
@@ -399,7 +399,7 @@
     fixture.late = Span::from_millis(100);
     fixture.want(6, 6, 1);
     fixture.run(Span::from_millis(50));
-    let failed = Progress::Failed(Execution::No, Cause::Missing);
+    let failed = Progress::Failed(Execution::No, FailureCause::Missing);
     fixture
         .scheduler
         .update_progress(fixture.now, &vm, 1, failed);
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -7,7 +7,7 @@
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
 use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
-use dahliastile_gateway::event::{Cause, Event, Execution, Fault, OrderOutcome, Outcome};
+use dahliastile_gateway::event::{Event, Execution, FailureCause, Fault, OrderOutcome, Outcome};
 use rand::Rng;
 
 use super::fall::{Arrival, CRASHES_AFTER, Run};
@@ -219,7 +219,7 @@
         let Some((engine, _)) = self.servers.get_mut(&send.server).filter(|(e, _)| e.up) else {
             self.at(
                 now + WAY,
-                Act::Event(vm, start, failed(Execution::No, Cause::Unreachable)),
+                Act::Event(vm, start, failed(Execution::No, FailureCause::Unreachable)),
             );
             return;
         };
@@ -234,7 +234,7 @@
         }
         if engine.resting {
             self.refusal_in(WAY, to, &send.server, left);
-            let refused = failed(Execution::No, Cause::Full);
+            let refused = failed(Execution::No, FailureCause::Full);
             self.at(now + WAY, Act::Event(vm, start, refused));
             return;
         }
@@ -255,7 +255,7 @@
             self.head_in(WAY, to, &send.server, left);
             self.at(
                 now + WAY,
-                Act::Event(vm, start, failed(Execution::No, Cause::Missing)),
+                Act::Event(vm, start, failed(Execution::No, FailureCause::Missing)),
             );
             return;
         };
@@ -267,7 +267,7 @@
         if failing {
             self.at(
                 begun + WAY,
-                Act::Event(vm, start, failed(Execution::Yes, Cause::Status(500))),
+                Act::Event(vm, start, failed(Execution::Yes, FailureCause::Status(500))),
             );
             return;
         }
@@ -385,7 +385,7 @@
                 self.at(now + WAY, Act::Arrive(vm, start, number, *send));
             }
             Effect::Request(number, Verdict::Send(_)) => {
-                let event = Event::AttemptFailed(number, Execution::No, Cause::Unreachable);
+                let event = Event::AttemptFailed(number, Execution::No, FailureCause::Unreachable);
                 self.at(now + Span::from_millis(400), Act::Event(vm, start, event));
             }
             Effect::Request(number, verdict) => {
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey};
-use dahliastile_gateway::event::{Cause, Event, Execution, Presence};
+use dahliastile_gateway::event::{Event, Execution, FailureCause, Presence};
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 
 use super::{Act, Answer, WAY, World};
@@ -117,7 +117,7 @@
                 asked.ended = (!resumable).then_some((self.now, Answer::Cut));
             }
         }
-        let event = Event::AttemptFailed(number, Execution::Maybe, Cause::Broken);
+        let event = Event::AttemptFailed(number, Execution::Maybe, FailureCause::Broken);
         self.at(self.now + WAY, Act::Event(run.vm.0, run.vm.1, event));
     }
 
--- a/crates/shell/src/attempt.rs
+++ b/crates/shell/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dahliastile_gateway::effect::Send;
-use dahliastile_gateway::event::{Cause, Execution};
+use dahliastile_gateway::event::{Execution, FailureCause};
 use http::{Response, request, response};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -22,7 +22,7 @@
     /// A stream has begun.
     Stream(response::Parts, Incoming, Connection),
     /// The server failed the request; with its own failure, where that can be passed on.
-    Failed(Execution, Cause, Option<Response<Bytes>>),
+    Failed(Execution, FailureCause, Option<Response<Bytes>>),
 }
 
 /// Sends a request to a server; where a stream goes on, after the event with this id.
@@ -40,16 +40,20 @@
     let at = Instant::now();
     let (response, connection) = match hub.pool.send(send.address, request).await {
         Ok(begun) => begun,
-        Err(Fault::NotSent) => return Tried::Failed(Execution::No, Cause::Unreachable, None),
-        Err(Fault::Malformed) => return Tried::Failed(Execution::Maybe, Cause::Malformed, None),
+        Err(Fault::NotSent) => {
+            return Tried::Failed(Execution::No, FailureCause::Unreachable, None);
+        }
+        Err(Fault::Malformed) => {
+            return Tried::Failed(Execution::Maybe, FailureCause::Malformed, None);
+        }
         Err(Fault::Broken | Fault::Timeout) => {
-            return Tried::Failed(Execution::Maybe, Cause::Broken, None);
+            return Tried::Failed(Execution::Maybe, FailureCause::Broken, None);
         }
     };
     let (answer, body) = response.into_parts();
     hub.notice(&send.server, at, hub.dialect.notice(&answer));
     match hub.dialect.reply(head, &answer) {
-        Reply::Foreign => Tried::Failed(Execution::Maybe, Cause::Malformed, None),
+        Reply::Foreign => Tried::Failed(Execution::Maybe, FailureCause::Malformed, None),
         Reply::Answer if send.stream => Tried::Stream(answer, body, connection),
         reply => settle(hub, reply, answer, body, connection).await,
     }
@@ -71,14 +75,14 @@
             builder.body(read.to_bytes()).ok()
         }
         (Err(_), Reply::NotRun(cause)) => return Tried::Failed(Execution::No, cause, None),
-        (Err(_), _) => return Tried::Failed(Execution::Maybe, Cause::Broken, None),
+        (Err(_), _) => return Tried::Failed(Execution::Maybe, FailureCause::Broken, None),
     };
     match (reply, whole) {
         (Reply::NotRun(cause), _) => Tried::Failed(Execution::No, cause, None),
         (Reply::Failure(status), whole) => {
-            Tried::Failed(Execution::Yes, Cause::Status(status), whole)
+            Tried::Failed(Execution::Yes, FailureCause::Status(status), whole)
         }
         (_, Some(whole)) => Tried::Whole(whole),
-        (_, None) => Tried::Failed(Execution::Maybe, Cause::Malformed, None),
+        (_, None) => Tried::Failed(Execution::Maybe, FailureCause::Malformed, None),
     }
 }
--- a/crates/shell/src/dialect.rs
+++ b/crates/shell/src/dialect.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
 use dahliastile_gateway::effect::{Op, Order, Reason, Send};
-use dahliastile_gateway::event::{CallerRequest, Cause, OrderOutcome, Outcome, Report};
+use dahliastile_gateway::event::{CallerRequest, FailureCause, OrderOutcome, Outcome, Report};
 use dahliastile_gateway::request::notice::Notice;
 use dahliastile_gateway::settings::Tuning;
 use http::{Request, Response, request, response};
@@ -30,7 +30,7 @@
     /// The answer to the request, or to be passed on as it is.
     Answer,
     /// The server did not run the request and never will.
-    NotRun(Cause),
+    NotRun(FailureCause),
     /// The server ran the request, or tried, and failed.
     Failure(u16),
     /// No answer to this request.
--- a/crates/shell/src/stream.rs
+++ b/crates/shell/src/stream.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use dahliastile_core::time::Span;
 use dahliastile_gateway::effect::{Reason, Send, Verdict};
-use dahliastile_gateway::event::{Cause, Event, Execution};
+use dahliastile_gateway::event::{Event, Execution, FailureCause};
 use http::response;
 use http_body_util::{BodyExt, Either};
 use hyper::body::Incoming;
@@ -131,10 +131,11 @@
         }
         drop(connection);
         events.rest.clear();
-        asked
-            .ticket
-            .hub
-            .post(Event::AttemptFailed(id, Execution::Maybe, Cause::Broken));
+        asked.ticket.hub.post(Event::AttemptFailed(
+            id,
+            Execution::Maybe,
+            FailureCause::Broken,
+        ));
         if !send.resumable {
             asked.ticket.done = true;
             return;
@@ -202,7 +203,11 @@
         };
         match tried {
             Tried::Stream(head, body, connection) => return Some((head, body, connection)),
-            Tried::Whole(_) => hub.post(Event::AttemptFailed(id, Execution::Yes, Cause::Malformed)),
+            Tried::Whole(_) => hub.post(Event::AttemptFailed(
+                id,
+                Execution::Yes,
+                FailureCause::Malformed,
+            )),
             Tried::Failed(ran, cause, _) => hub.post(Event::AttemptFailed(id, ran, cause)),
         }
     }
