--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -135,7 +135,7 @@
 
 /// Whether a server takes connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum ProbeResult {
     /// It does.
     Listens,
     /// Nothing listens at its address.
@@ -204,7 +204,7 @@
     /// A server's report, or none where it gave none.
     ReportReceived(Server, Option<Report>),
     /// A server was asked whether it takes connections.
-    Probed(Server, Presence),
+    Probed(Server, ProbeResult),
     /// A call of the key-value service came back.
     KvAnswered(OpId, Outcome),
     /// A message from another VM.
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -32,7 +32,7 @@
 use self::suspects::Suspect;
 use crate::cluster::membership;
 use crate::effect::{Effect, Effects, OpId};
-use crate::event::{Presence, RequestId};
+use crate::event::{ProbeResult, RequestId};
 use crate::message::Message;
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
@@ -320,9 +320,14 @@
     }
 
     /// A server was asked whether it takes connections.
-    pub(crate) fn handle_probe(&mut self, server: &Server, presence: Presence, out: &mut Effects) {
+    pub(crate) fn handle_probe(
+        &mut self,
+        server: &Server,
+        presence: ProbeResult,
+        out: &mut Effects,
+    ) {
         self.quarantine.suspects.probed(server);
-        if presence == Presence::Refuses {
+        if presence == ProbeResult::Refuses {
             self.server_ended(server, out);
         }
     }
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -7,7 +7,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey};
-use dahliastile_gateway::event::{Event, Execution, FailureCause, Presence};
+use dahliastile_gateway::event::{Event, Execution, FailureCause, ProbeResult};
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 
 use super::{Act, Answer, WAY, World};
@@ -145,9 +145,9 @@
         self.probes += 1;
         let up = self.servers.get(&server).is_some_and(|(e, _)| e.up);
         let (presence, after) = match self.hosts[vm].net {
-            true if up => (Presence::Listens, WAY.times(2)),
-            true => (Presence::Refuses, WAY.times(2)),
-            false => (Presence::Silent, Span::from_millis(400)),
+            true if up => (ProbeResult::Listens, WAY.times(2)),
+            true => (ProbeResult::Refuses, WAY.times(2)),
+            false => (ProbeResult::Silent, Span::from_millis(400)),
         };
         let event = Event::Probed(server, presence);
         let start = self.hosts[vm].start;
--- a/crates/shell/src/pool.rs
+++ b/crates/shell/src/pool.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dahliastile_gateway::event::Presence;
+use dahliastile_gateway::event::ProbeResult;
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -155,12 +155,12 @@
 }
 
 /// Whether a server takes connections.
-pub(crate) async fn probe(address: SocketAddr) -> Presence {
+pub(crate) async fn probe(address: SocketAddr) -> ProbeResult {
     match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Presence::Listens,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Presence::Refuses,
+        Ok(Ok(_)) => ProbeResult::Listens,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeResult::Refuses,
         // No way there, or too many connections here: it says nothing of the server.
-        Ok(Err(_)) | Err(_) => Presence::Silent,
+        Ok(Err(_)) | Err(_) => ProbeResult::Silent,
     }
 }
 
