--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -18,7 +18,7 @@
 use crate::cluster::lease::{Kept, Terms};
 use crate::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Holder, proposed_change};
 use crate::effect::{Effects, Op, OpId};
-use crate::event::Outcome;
+use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::scheduler::Scheduler;
 use crate::timer::Timer;
@@ -144,7 +144,7 @@
     pub(crate) fn handle_leadership_outcome(
         &mut self,
         op: OpId,
-        outcome: Outcome,
+        outcome: KvOutcome,
         out: &mut Effects,
     ) {
         let Some((purpose, sent)) = self.leaderships.calls.remove(&op) else {
@@ -155,23 +155,23 @@
         }
         let (now, terms) = (self.now, self.leadership_terms());
         match (purpose, outcome) {
-            (Purpose::Lease, Outcome::Granted(id, _)) => {
+            (Purpose::Lease, KvOutcome::Granted(id, _)) => {
                 self.leaderships.lease.was_granted(now, sent, id, terms);
                 self.take_asked(out);
             }
-            (Purpose::Lease, Outcome::Renewed(_)) => {
+            (Purpose::Lease, KvOutcome::Renewed(_)) => {
                 self.leaderships.lease.was_renewed(sent, terms);
                 self.update_candidacies(out);
             }
-            (Purpose::Leadership(service), Outcome::Written(revision)) => {
+            (Purpose::Leadership(service), KvOutcome::Written(revision)) => {
                 self.leadership_written(&service, revision, out);
             }
-            (Purpose::Leadership(_), Outcome::Conflict(changes)) => {
+            (Purpose::Leadership(_), KvOutcome::Conflict(changes)) => {
                 self.apply_changes(changes, Delivery::LatestOnly, false, out);
                 // It may be the entry that is gone.
                 self.probe_by_registration(out);
             }
-            (Purpose::Lease | Purpose::Leadership(_), Outcome::NoLease) => self.lease_lost(out),
+            (Purpose::Lease | Purpose::Leadership(_), KvOutcome::NoLease) => self.lease_lost(out),
             (Purpose::Lease, _) => self.leaderships.lease.failed(now, terms, &mut self.rng),
             _ => {}
         }
--- a/crates/gateway/src/cluster/lease_vote.rs
+++ b/crates/gateway/src/cluster/lease_vote.rs
@@ -12,7 +12,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::effect::Effects;
-use crate::event::Outcome;
+use crate::event::KvOutcome;
 use crate::feature::Feature;
 use crate::message::Message;
 use crate::node::Gateway;
@@ -58,8 +58,8 @@
     }
 
     /// A write of a leadership came back.
-    pub(crate) fn leadership_written(&mut self, now: Instant, outcome: &Outcome) {
-        if matches!(outcome, Outcome::Unknown) {
+    pub(crate) fn leadership_written(&mut self, now: Instant, outcome: &KvOutcome) {
+        if matches!(outcome, KvOutcome::Unknown) {
             self.unsure = now + LATE_WRITE;
         }
     }
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -12,7 +12,7 @@
 use crate::cluster::lease::{Kept, Terms};
 use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, proposed_change};
 use crate::effect::{Effects, Op, OpId};
-use crate::event::Outcome;
+use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::timer::Timer;
 
@@ -109,7 +109,7 @@
     pub(crate) fn handle_registration_outcome(
         &mut self,
         op: OpId,
-        outcome: Outcome,
+        outcome: KvOutcome,
         out: &mut Effects,
     ) {
         let Some((purpose, sent)) = self.registration.calls.remove(&op) else {
@@ -117,23 +117,23 @@
         };
         let (now, terms) = (self.now, self.registration_terms());
         match (purpose, outcome) {
-            (Purpose::Lease, Outcome::Granted(id, _)) => {
+            (Purpose::Lease, KvOutcome::Granted(id, _)) => {
                 self.registration.lease.was_granted(now, sent, id, terms);
                 self.registration.written = None;
                 self.register(out);
                 self.update_candidacies(out);
             }
-            (Purpose::Lease, Outcome::Renewed(_)) => {
+            (Purpose::Lease, KvOutcome::Renewed(_)) => {
                 self.registration.lease.was_renewed(sent, terms);
                 if self.registration.written.is_none() {
                     self.register(out);
                 }
             }
-            (Purpose::Write, Outcome::Written(revision)) => {
+            (Purpose::Write, KvOutcome::Written(revision)) => {
                 self.registration.written = Some(revision);
                 self.take_asked(out);
             }
-            (Purpose::Lease | Purpose::Write, Outcome::NoLease) => {
+            (Purpose::Lease | Purpose::Write, KvOutcome::NoLease) => {
                 self.registration.lease.ended(now, terms, &mut self.rng);
                 self.registration.written = None;
                 let detail = "of=entry next=grant".to_owned();
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -17,7 +17,7 @@
 use crate::cluster::membership;
 use crate::cluster::snapshot::{Delivery, Revision};
 use crate::effect::{Effect, Effects, Op, OpId, Reach};
-use crate::event::Outcome;
+use crate::event::KvOutcome;
 use crate::message::Message;
 use crate::node::Gateway;
 use crate::timer::Timer;
@@ -96,16 +96,16 @@
     }
 
     /// The call in progress came back.
-    pub(crate) fn handle_watch_outcome(&mut self, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_watch_outcome(&mut self, outcome: KvOutcome, out: &mut Effects) {
         self.watch.op = None;
         match outcome {
-            Outcome::Listed(changes, revision) => {
+            KvOutcome::Listed(changes, revision) => {
                 self.store_back(self.now, out);
                 self.apply_list(changes, revision, out);
                 self.watch.cursor = Some(revision);
                 self.continue_watching(out);
             }
-            Outcome::Watched(changes, revision) => {
+            KvOutcome::Watched(changes, revision) => {
                 self.store_back(self.now, out);
                 self.tell_followers(&changes, revision, out);
                 let recovering = self.recovering();
@@ -114,7 +114,7 @@
                 let gap = if self.watches() { WATCH_GAP } else { ALONE_GAP };
                 self.call_in(gap);
             }
-            Outcome::Compacted => {
+            KvOutcome::Compacted => {
                 self.watch.cursor = None;
                 Self::log(out, Code::StoreCompacted, "next=list".to_owned());
                 self.watch.op = Some(self.store(Op::List, out));
@@ -258,7 +258,7 @@
         }
     }
 
-    fn store_away(&mut self, outcome: &Outcome, out: &mut Effects) {
+    fn store_away(&mut self, outcome: &KvOutcome, out: &mut Effects) {
         if self.watch.away.is_none() {
             self.watch.away = Some(self.now);
             self.watch.ask = self.now + ASK_PEERS_AFTER;
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -146,7 +146,7 @@
 
 /// How a call of the key-value service came out.
 #[derive(Clone, Debug)]
-pub enum Outcome {
+pub enum KvOutcome {
     /// Items listed, and the revision of the first page.
     Listed(Vec<Change>, Revision),
     /// Changes after the revision asked for, and the revision to go on from.
@@ -206,7 +206,7 @@
     /// A server was asked whether it takes connections.
     Probed(Server, ProbeResult),
     /// A call of the key-value service came back.
-    KvAnswered(OpId, Outcome),
+    KvAnswered(OpId, KvOutcome),
     /// A message from another VM.
     PeerMessage(Vm, Message),
     /// A link to another VM could not be made or broke.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -295,7 +295,7 @@
         self.handle_registration_timer(out);
     }
 
-    fn answered(&mut self, op: OpId, outcome: crate::event::Outcome, out: &mut Effects) {
+    fn answered(&mut self, op: OpId, outcome: crate::event::KvOutcome, out: &mut Effects) {
         if self.watch.op == Some(op) {
             self.handle_watch_outcome(outcome, out);
         } else if self.registration.owns(op) {
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -9,7 +9,7 @@
 use crate::cluster::lease::backoff;
 use crate::cluster::snapshot::{Delivery, EntryKey, EntryValue, Revision, proposed_change};
 use crate::effect::{Effects, Op, OpId};
-use crate::event::{Lease, Outcome};
+use crate::event::{KvOutcome, Lease};
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
 use crate::timer::Timer;
@@ -178,27 +178,27 @@
     }
 
     /// A call on records came back.
-    pub(crate) fn handle_quarantine_outcome(&mut self, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_quarantine_outcome(&mut self, outcome: KvOutcome, out: &mut Effects) {
         let now = self.now;
         let records = &mut self.quarantine.records;
         let Some((_, purpose)) = records.call.take() else {
             return;
         };
         match (purpose, outcome) {
-            (Purpose::Lease, Outcome::Granted(lease, _)) => {
+            (Purpose::Lease, KvOutcome::Granted(lease, _)) => {
                 records.lease = Some((lease, now));
                 records.failures = 0;
             }
-            (Purpose::Record(fingerprint), Outcome::Written(_)) => {
+            (Purpose::Record(fingerprint), KvOutcome::Written(_)) => {
                 records.failures = 0;
                 records.written(fingerprint, now);
             }
-            (_, Outcome::Conflict(changes)) => {
+            (_, KvOutcome::Conflict(changes)) => {
                 records.pause = now + RETRY;
                 self.apply_changes(changes, Delivery::LatestOnly, false, out);
             }
             (_, outcome) => {
-                if matches!(outcome, Outcome::NoLease) {
+                if matches!(outcome, KvOutcome::NoLease) {
                     records.lease = None;
                 }
                 let pause = backoff(RETRY, RETRY_LONGEST, records.failures, &mut self.rng);
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, EntryValue, Revision};
 use dahliastile_gateway::effect::Op;
-use dahliastile_gateway::event::{Lease, Outcome};
+use dahliastile_gateway::event::{KvOutcome, Lease};
 
 /// One call that waits for changes.
 pub struct Waiter {
@@ -113,7 +113,7 @@
     }
 
     /// Carries a call out; none where it waits.
-    pub fn call(&mut self, now: Instant, vm: usize, op: u64, call: Op) -> Option<Outcome> {
+    pub fn call(&mut self, now: Instant, vm: usize, op: u64, call: Op) -> Option<KvOutcome> {
         self.calls += 1;
         match call {
             Op::List => {
@@ -122,9 +122,9 @@
                     .values()
                     .map(|(change, _)| change.clone())
                     .collect();
-                Some(Outcome::Listed(items, self.revision))
+                Some(KvOutcome::Listed(items, self.revision))
             }
-            Op::Watch(after, _) if after < self.compacted => Some(Outcome::Compacted),
+            Op::Watch(after, _) if after < self.compacted => Some(KvOutcome::Compacted),
             Op::Watch(after, wait) => {
                 self.watched_by.insert(vm);
                 self.waiters.push(Waiter {
@@ -138,18 +138,18 @@
             Op::Grant(ttl) => {
                 self.revision += 1;
                 self.leases.insert(self.revision, (ttl, now + ttl));
-                Some(Outcome::Granted(self.revision, ttl))
+                Some(KvOutcome::Granted(self.revision, ttl))
             }
             Op::Renew(lease) => Some(match self.leases.get_mut(&lease) {
                 Some((ttl, end)) => {
                     *end = now + *ttl;
-                    Outcome::Renewed(*ttl)
+                    KvOutcome::Renewed(*ttl)
                 }
-                None => Outcome::NoLease,
+                None => KvOutcome::NoLease,
             }),
             Op::End(lease) => {
                 self.end(lease);
-                Some(Outcome::NoLease)
+                Some(KvOutcome::NoLease)
             }
             Op::Put(change, lease, conditions) => Some(self.write(change, lease, &conditions)),
             Op::Remove(subject, revision) => {
@@ -158,13 +158,13 @@
                     return Some(self.conflict(&subject));
                 }
                 self.remove(&subject);
-                Some(Outcome::Written(self.revision))
+                Some(KvOutcome::Written(self.revision))
             }
         }
     }
 
     /// What waiting calls get now.
-    pub fn wake(&mut self, now: Instant) -> Vec<(usize, u64, Outcome)> {
+    pub fn wake(&mut self, now: Instant) -> Vec<(usize, u64, KvOutcome)> {
         let mut woken = Vec::new();
         let history = &self.history;
         let revision = self.revision;
@@ -177,7 +177,7 @@
             if changes.is_empty() && waiter.until > now {
                 return true;
             }
-            woken.push((waiter.vm, waiter.op, Outcome::Watched(changes, revision)));
+            woken.push((waiter.vm, waiter.op, KvOutcome::Watched(changes, revision)));
             false
         });
         woken
@@ -188,20 +188,20 @@
         change: Change,
         lease: Lease,
         conditions: &[(EntryKey, Revision)],
-    ) -> Outcome {
+    ) -> KvOutcome {
         let known = |subject: &EntryKey| self.get(subject).map_or(0, |c| c.revision);
         let mut failed = conditions
             .iter()
             .filter(|(s, revision)| known(s) != *revision);
         match (failed.next(), change.value) {
             (Some((subject, _)), _) => self.conflict(subject),
-            _ if !self.leases.contains_key(&lease) => Outcome::NoLease,
-            (_, Some(fact)) => Outcome::Written(self.put(change.key, fact, lease)),
-            (_, None) => Outcome::Refused,
+            _ if !self.leases.contains_key(&lease) => KvOutcome::NoLease,
+            (_, Some(fact)) => KvOutcome::Written(self.put(change.key, fact, lease)),
+            (_, None) => KvOutcome::Refused,
         }
     }
 
-    fn conflict(&self, subject: &EntryKey) -> Outcome {
-        Outcome::Conflict(self.get(subject).cloned().into_iter().collect())
+    fn conflict(&self, subject: &EntryKey) -> KvOutcome {
+        KvOutcome::Conflict(self.get(subject).cloned().into_iter().collect())
     }
 }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -7,7 +7,7 @@
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
 use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
-use dahliastile_gateway::event::{Event, Execution, FailureCause, Fault, OrderOutcome, Outcome};
+use dahliastile_gateway::event::{Event, Execution, FailureCause, Fault, KvOutcome, OrderOutcome};
 use rand::Rng;
 
 use super::fall::{Arrival, CRASHES_AFTER, Run};
@@ -113,7 +113,7 @@
 
     pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: Op) {
         if self.hosts[vm].silent {
-            let event = Event::KvAnswered(op, Outcome::Unknown);
+            let event = Event::KvAnswered(op, KvOutcome::Unknown);
             self.at(self.now + SILENT_CALL, Act::Event(vm, start, event));
             return;
         }
@@ -121,7 +121,7 @@
         let outcome = if reached {
             self.store.call(self.now, vm, op, call)
         } else {
-            Some(Outcome::Refused)
+            Some(KvOutcome::Refused)
         };
         if let Some(outcome) = outcome {
             let at = self.now + STORE_WAY + self.lag(vm, &outcome);
@@ -135,7 +135,7 @@
         if !self.store_up {
             let cut: Vec<_> = self.store.waiters.drain(..).collect();
             for waiter in cut {
-                self.answer_store(waiter.vm, waiter.op, Outcome::Unknown);
+                self.answer_store(waiter.vm, waiter.op, KvOutcome::Unknown);
             }
             return;
         }
@@ -143,18 +143,18 @@
             let outcome = if self.hosts[vm].store {
                 outcome
             } else {
-                Outcome::Unknown
+                KvOutcome::Unknown
             };
             self.answer_store(vm, op, outcome);
         }
     }
 
-    pub(super) fn answer_store(&mut self, vm: usize, op: u64, outcome: Outcome) {
+    pub(super) fn answer_store(&mut self, vm: usize, op: u64, outcome: KvOutcome) {
         let start = self.hosts.get(vm).map_or(0, |host| host.start);
         let silent = self.hosts.get(vm).is_some_and(|host| host.silent);
         let (outcome, at) = if silent {
             // The caller's own limit ends its wait.
-            (Outcome::Unknown, self.now + SILENT_CALL)
+            (KvOutcome::Unknown, self.now + SILENT_CALL)
         } else {
             let lag = self.lag(vm, &outcome);
             (outcome, self.now + STORE_WAY + lag)
@@ -162,11 +162,11 @@
         self.at(at, Act::Event(vm, start, Event::KvAnswered(op, outcome)));
     }
 
-    pub(super) fn lag(&self, vm: usize, outcome: &Outcome) -> Span {
+    pub(super) fn lag(&self, vm: usize, outcome: &KvOutcome) -> Span {
         let leadership = |change: &Change| matches!(change.value, Some(EntryValue::Holder(_)));
         match outcome {
-            Outcome::Written(_) => self.hosts[vm].store_lag,
-            Outcome::Watched(changes, _) if changes.iter().any(leadership) => {
+            KvOutcome::Written(_) => self.hosts[vm].store_lag,
+            KvOutcome::Watched(changes, _) if changes.iter().any(leadership) => {
                 self.hosts[vm].store_lag
             }
             _ => Span::ZERO,
