--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -13,7 +13,7 @@
 use rustc_hash::FxHasher;
 
 use crate::cluster::snapshot::Member;
-use crate::event::Fault;
+use crate::event::LinkFault;
 
 /// How long a VM without an entry is still spoken to after it was last heard.
 const KEPT: Span = Span::from_secs(10);
@@ -94,13 +94,13 @@
     pub(crate) fn record_link_failure(
         &mut self,
         address: SocketAddr,
-        fault: Fault,
+        fault: LinkFault,
         now: Instant,
     ) -> Option<(Vm, bool)> {
         let mut rows = self.rows.iter_mut();
         let (vm, row) = rows.find(|(_, row)| row.address == address)?;
         let since = *row.down.get_or_insert(now);
-        let refused = fault == Fault::Unreachable && now.since(since) >= UNREACHABLE;
+        let refused = fault == LinkFault::Unreachable && now.since(since) >= UNREACHABLE;
         Some((vm.clone(), !row.listed || refused))
     }
 
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -171,7 +171,7 @@
 
 /// How a link to another VM failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum LinkFault {
     /// It could not be made.
     Unreachable,
     /// It broke.
@@ -210,7 +210,7 @@
     /// A message from another VM.
     PeerMessage(Vm, Message),
     /// A link to another VM could not be made or broke.
-    PeerDown(SocketAddr, Fault),
+    PeerDown(SocketAddr, LinkFault),
     /// The settings file was read again: its figures, or why it can't be used.
     SettingsReloaded(Result<Box<Tuning>, String>),
     /// The process is to stop.
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -13,7 +13,7 @@
 use crate::cluster::candidacy::MIN_TENURE;
 use crate::cluster::snapshot::{EntryKey, EntryValue, Holder, Resident, Revision, Version};
 use crate::effect::Effects;
-use crate::event::{Fault, RequestId};
+use crate::event::{LinkFault, RequestId};
 use crate::measure;
 use crate::message::{EngineResidents, Message, PlacementRequest, Progress, Running};
 use crate::node::Gateway;
@@ -306,7 +306,7 @@
     }
 
     /// A link broke: where it led to a holder, this VM goes on alone until it hears of one again.
-    pub(crate) fn peer_down(&mut self, address: SocketAddr, fault: Fault, out: &mut Effects) {
+    pub(crate) fn peer_down(&mut self, address: SocketAddr, fault: LinkFault, out: &mut Effects) {
         let now = self.now;
         let Some((vm, gone)) = self.membership.record_link_failure(address, fault, now) else {
             return;
@@ -317,7 +317,7 @@
         self.quota_vm_down(&vm, out);
         // A holder whose word still comes is busy, not gone.
         let busy =
-            |client: &State| fault == Fault::Late && now.since(client.heard) < HOLDER_TIMEOUT;
+            |client: &State| fault == LinkFault::Late && now.since(client.heard) < HOLDER_TIMEOUT;
         let holds = |client: &State| client.holder.as_ref() == Some(&vm) && !busy(client);
         let led = self
             .scheduler_clients
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -7,7 +7,9 @@
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
 use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
-use dahliastile_gateway::event::{Event, Execution, FailureCause, Fault, KvOutcome, OrderOutcome};
+use dahliastile_gateway::event::{
+    Event, Execution, FailureCause, KvOutcome, LinkFault, OrderOutcome,
+};
 use rand::Rng;
 
 use super::fall::{Arrival, CRASHES_AFTER, Run};
@@ -75,7 +77,7 @@
                 if linked && self.hosts[to].net && self.hosts[to].gateway.is_some() {
                     self.deliver(to, Event::PeerMessage(sender, message));
                 } else if self.hosts[from].net {
-                    let down = Event::PeerDown(setup::address(1, to), Fault::Unreachable);
+                    let down = Event::PeerDown(setup::address(1, to), LinkFault::Unreachable);
                     self.deliver(from, down);
                 }
             }
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -9,7 +9,7 @@
 use dahliastile_core::metric::Figure;
 use dahliastile_core::time::Span;
 use dahliastile_gateway::effect::Reach;
-use dahliastile_gateway::event::{Event, Fault};
+use dahliastile_gateway::event::{Event, LinkFault};
 use dahliastile_gateway::message::{Message, encode_each};
 use dahliastile_wire::exchange::{Sender, Sink, serve};
 use rustc_hash::FxHashMap;
@@ -105,7 +105,7 @@
                     queue.wake.notify_one();
                     self.deliver(&link, &queue).await
                 }
-                Err(_) => Fault::Unreachable,
+                Err(_) => LinkFault::Unreachable,
             };
             queue.messages.borrow_mut().clear();
             self.hub.post(Event::PeerDown(address, fault));
@@ -123,7 +123,7 @@
     }
 
     /// Delivers batches until one is not taken in, and says why. The next batch does not wait for the last one's answer.
-    async fn deliver(&self, link: &Sender, queue: &Queue) -> Fault {
+    async fn deliver(&self, link: &Sender, queue: &Queue) -> LinkFault {
         let mut answers = futures::stream::FuturesUnordered::new();
         loop {
             tokio::select! {
@@ -140,8 +140,8 @@
                     let answer: Result<(), dahliastile_wire::Error> = answer;
                     match answer {
                         Ok(()) => {}
-                        Err(dahliastile_wire::Error::Timeout { .. }) => return Fault::Late,
-                        Err(_) => return Fault::Broken,
+                        Err(dahliastile_wire::Error::Timeout { .. }) => return LinkFault::Late,
+                        Err(_) => return LinkFault::Broken,
                     }
                 }
             }
