--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -228,7 +228,7 @@
                             version: 1,
                             adapters: Vec::new(),
                         }],
-                        coming: Vec::new(),
+                        loading: Vec::new(),
                         busy: false,
                         orders: 0,
                         start: None,
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -124,7 +124,7 @@
     /// The base models and their adapters.
     pub models: Vec<ResidentModel>,
     /// Adapters on their way to it: base model, adapter, version.
-    pub coming: Vec<(Arc<str>, Arc<str>, u64)>,
+    pub loading: Vec<(Arc<str>, Arc<str>, u64)>,
     /// Whether an order on a base model is in progress.
     pub busy: bool,
     /// Orders accepted.
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -344,7 +344,7 @@
                     .insert(key, place(resident.version, Stage::Ready));
             }
         }
-        for (model, adapter, version) in &report.coming {
+        for (model, adapter, version) in &report.loading {
             let key = keys.key(model, adapter);
             self.places
                 .insert(key, place(*version, Stage::Coming(now + load_time)));
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -234,7 +234,7 @@
             } else {
                 Vec::new()
             },
-            coming: coming
+            loading: coming
                 .into_iter()
                 .map(|(name, slot)| (MODEL.into(), name.clone(), slot.version))
                 .collect(),
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -188,7 +188,7 @@
             version: 1,
             adapters,
         }],
-        coming: Vec::new(),
+        loading: Vec::new(),
         busy: false,
         orders: 0,
         start: Some(Incarnation(1)),
