--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -16,7 +16,7 @@
 
 use self::key::Key;
 use crate::config::{Config, Route};
-use crate::effect::{Effects, Reason};
+use crate::effect::{Effects, RefusalReason};
 use crate::event::{CallerRequest, RequestId};
 use crate::node::Gateway;
 use crate::request::state::refusal;
@@ -144,14 +144,14 @@
         &self,
         route: &Route,
         call: &CallerRequest,
-    ) -> Result<Option<Arc<Account>>, Reason> {
+    ) -> Result<Option<Arc<Account>>, RefusalReason> {
         let accounts = self.index.accounts();
         let account = call.key.as_ref().and_then(|key| accounts.find(key));
         match account {
             Some(account) => Ok(Some(account.clone())),
             None if route.public || !accounts.required => Ok(None),
-            None if self.store_answer_age() <= CERTAIN => Err(Reason::UnknownKey),
-            None => Err(Reason::UnconfirmedKey),
+            None if self.store_answer_age() <= CERTAIN => Err(RefusalReason::UnknownKey),
+            None => Err(RefusalReason::UnconfirmedKey),
         }
     }
 
@@ -160,11 +160,11 @@
         &self,
         request: RequestId,
         call: &CallerRequest,
-        reason: Reason,
+        reason: RefusalReason,
         out: &mut Effects,
     ) {
         let (why, after) = match reason {
-            Reason::UnconfirmedKey => ("key_unconfirmed", Some(CONFIRMED_WITHIN)),
+            RefusalReason::UnconfirmedKey => ("key_unconfirmed", Some(CONFIRMED_WITHIN)),
             _ => ("key_unknown", None),
         };
         let key = call.key.map_or("none".to_owned(), |key| key.to_string());
--- a/crates/gateway/src/config/startup_queue.rs
+++ b/crates/gateway/src/config/startup_queue.rs
@@ -9,7 +9,7 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::effect::{Effects, Reason};
+use crate::effect::{Effects, RefusalReason};
 use crate::event::{CallerRequest, RequestId};
 use crate::node::Gateway;
 use crate::request::state::refusal;
@@ -85,6 +85,6 @@
 
     fn refuse_unconfigured(request: RequestId, call: &CallerRequest, out: &mut Effects) {
         Self::log(out, Code::Refused, format!("id={} why=no_config", call.id));
-        out.push(refusal(request, Reason::NoConfig, Some(COME_BACK)));
+        out.push(refusal(request, RefusalReason::NoConfig, Some(COME_BACK)));
     }
 }
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -20,7 +20,7 @@
 
 /// Why a request gets no answer of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Reason {
+pub enum RefusalReason {
     /// No route fits.
     NoRoute,
     /// No configuration is known yet.
@@ -70,7 +70,7 @@
     /// The server's own failure is the answer.
     Deliver,
     /// It is refused, and the caller may come back after the span.
-    Refuse(Reason, Option<Span>),
+    Refuse(RefusalReason, Option<Span>),
     /// Its time is over in the midst of its answer, which is broken off.
     Cut,
 }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -16,7 +16,7 @@
 use crate::account::{Account, Tokens};
 use crate::cluster::snapshot::Version;
 use crate::config::{Kind, Route, Target};
-use crate::effect::{Effect, Effects, Reason, Send, Verdict};
+use crate::effect::{Effect, Effects, RefusalReason, Send, Verdict};
 use crate::event::{CallerRequest, RequestId};
 use crate::measure;
 use crate::message::{PlacementRequest, Progress};
@@ -199,7 +199,7 @@
             call.id, call.host, call.path
         );
         Self::log(out, Code::Refused, detail);
-        out.push(refusal(request, Reason::NoRoute, None));
+        out.push(refusal(request, RefusalReason::NoRoute, None));
     }
 
     /// Looks for a server for a request that has none.
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -7,7 +7,7 @@
 
 use super::Phase;
 use crate::config::Kind;
-use crate::effect::{Effect, Effects, Reason, Verdict};
+use crate::effect::{Effect, Effects, RefusalReason, Verdict};
 use crate::event::{Execution, FailureCause, RequestId};
 use crate::measure;
 use crate::message::Progress;
@@ -57,12 +57,12 @@
     }
 
     /// What its caller is told where it may have run on so many servers.
-    const fn reason(self, ran: u32) -> Reason {
+    const fn reason(self, ran: u32) -> RefusalReason {
         match self {
-            _ if ran > 0 => Reason::Failed,
-            Self::Quarantined => Reason::Quarantined,
-            Self::OverLimit => Reason::OverLimit,
-            Self::NoServer | Self::SendFailed | Self::Scheduler => Reason::Overloaded,
+            _ if ran > 0 => RefusalReason::Failed,
+            Self::Quarantined => RefusalReason::Quarantined,
+            Self::OverLimit => RefusalReason::OverLimit,
+            Self::NoServer | Self::SendFailed | Self::Scheduler => RefusalReason::Overloaded,
         }
     }
 }
@@ -183,8 +183,8 @@
         );
         let effect = match sent || state.ran > 0 {
             _ if begun => Effect::Request(request, Verdict::Cut),
-            true => refusal(request, Reason::TimedOut, None),
-            false => refusal(request, Reason::Overloaded, Some(COME_BACK)),
+            true => refusal(request, RefusalReason::TimedOut, None),
+            false => refusal(request, RefusalReason::Overloaded, Some(COME_BACK)),
         };
         let ran = sent || state.ran > 0;
         out.push(effect);
@@ -250,7 +250,7 @@
     }
 }
 
-pub(crate) fn refusal(request: RequestId, reason: Reason, after: Option<Span>) -> Effect {
+pub(crate) fn refusal(request: RequestId, reason: RefusalReason, after: Option<Span>) -> Effect {
     Effect::Request(request, Verdict::Refuse(reason, after))
 }
 
--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -8,7 +8,7 @@
 use dahliastile_gateway::account::Account;
 use dahliastile_gateway::account::key::{Key, LONGEST};
 use dahliastile_gateway::config::{Config, Route};
-use dahliastile_gateway::effect::Reason;
+use dahliastile_gateway::effect::RefusalReason;
 use dahliastile_gateway::event::CallerRequest;
 use quickcheck::{Gen, QuickCheck};
 use support::accounts::{account, call, config, key, tuning};
@@ -71,7 +71,7 @@
     };
     for asked in [without, call("r", "key-x")] {
         let answer = outcome(&mut world, 1, asked);
-        assert_eq!(answer, Answer::Refused(Reason::UnknownKey, None));
+        assert_eq!(answer, Answer::Refused(RefusalReason::UnknownKey, None));
     }
 }
 
@@ -88,7 +88,10 @@
     world.run(IN_FORCE);
     let late = outcome(&mut world, 3, call("r", "key-w1"));
     assert!(
-        matches!(late, Answer::Refused(Reason::UnconfirmedKey, Some(_))),
+        matches!(
+            late,
+            Answer::Refused(RefusalReason::UnconfirmedKey, Some(_))
+        ),
         "{late:?}"
     );
     assert!(served(&outcome(&mut world, 1, call("r", "key-w1"))));
--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::Reason;
+use dahliastile_gateway::effect::RefusalReason;
 use support::setup::{call, work};
 use support::{Answer, World};
 
@@ -54,7 +54,7 @@
     world.run(Span::from_millis(1));
     assert_eq!(
         world.answer(number),
-        Some(&Answer::Refused(Reason::NoRoute, None))
+        Some(&Answer::Refused(RefusalReason::NoRoute, None))
     );
 }
 
@@ -70,7 +70,7 @@
     for number in [early, later] {
         assert!(matches!(
             world.answer(number),
-            Some(Answer::Refused(Reason::NoConfig, Some(_)))
+            Some(Answer::Refused(RefusalReason::NoConfig, Some(_)))
         ));
     }
 }
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -10,7 +10,7 @@
 
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::account::Account;
-use dahliastile_gateway::effect::Reason;
+use dahliastile_gateway::effect::RefusalReason;
 use rand::Rng;
 use support::series::{CONTACT, Series, VMS, seeds};
 use support::{Answer, accounts, config};
@@ -181,7 +181,7 @@
             }
             let refused = matches!(
                 asked.ended,
-                Some((_, Answer::Refused(Reason::UnknownKey, _)))
+                Some((_, Answer::Refused(RefusalReason::UnknownKey, _)))
             );
             let there = holders.iter().all(Option::is_some);
             assert!(
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -13,7 +13,7 @@
 
 use dahliastile_core::time::Span;
 use dahliastile_gateway::cluster::snapshot::{EntryKey, EntryValue};
-use dahliastile_gateway::effect::Reason;
+use dahliastile_gateway::effect::RefusalReason;
 use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use rand::Rng;
@@ -75,7 +75,7 @@
     for asked in world.asked.values() {
         let refused = matches!(
             asked.ended,
-            Some((_, Answer::Refused(Reason::Quarantined, _)))
+            Some((_, Answer::Refused(RefusalReason::Quarantined, _)))
         );
         let fingerprint = asked.call.fingerprint;
         assert!(
@@ -393,7 +393,8 @@
     for vm in 0..6 {
         let crashing = crashing(&mut world, "/plan/crash", vm);
         let number = world.ask(vm, crashing);
-        let Some(Answer::Refused(Reason::Quarantined, Some(after))) = world.answer(number) else {
+        let Some(Answer::Refused(RefusalReason::Quarantined, Some(after))) = world.answer(number)
+        else {
             panic!("{:?}", world.answer(number));
         };
         assert!(*after > Span::from_secs(500));
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -13,7 +13,7 @@
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use dahliastile_gateway::config::Config;
-use dahliastile_gateway::effect::{Op, Order, Reason, Send};
+use dahliastile_gateway::effect::{Op, Order, RefusalReason, Send};
 use dahliastile_gateway::event::{CallerRequest, Event};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::Message;
@@ -54,7 +54,7 @@
     /// A server's own failure.
     Failure,
     /// A refusal, and when to come back.
-    Refused(Reason, Option<Span>),
+    Refused(RefusalReason, Option<Span>),
     /// Broken off.
     Cut,
     /// The VM died.
@@ -597,7 +597,7 @@
             );
             let ended = asked.ended.as_ref().map(|(_, answer)| answer);
             if let Some(Answer::Refused(reason, _)) = ended
-                && !matches!(reason, Reason::Failed | Reason::TimedOut)
+                && !matches!(reason, RefusalReason::Failed | RefusalReason::TimedOut)
             {
                 assert!(
                     asked.runs.is_empty(),
--- a/crates/shell/src/dialect.rs
+++ b/crates/shell/src/dialect.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Op, Order, Reason, Send};
+use dahliastile_gateway::effect::{Op, Order, RefusalReason, Send};
 use dahliastile_gateway::event::{CallerRequest, FailureCause, KvOutcome, OrderOutcome, Report};
 use dahliastile_gateway::request::notice::Notice;
 use dahliastile_gateway::settings::Tuning;
@@ -49,7 +49,7 @@
     fn rejected(&self, rejection: Rejection) -> Response<Bytes>;
 
     /// The answer to a request that no server answers, and when its caller may come back.
-    fn refused(&self, reason: Reason, after: Option<Span>) -> Response<Bytes>;
+    fn refused(&self, reason: RefusalReason, after: Option<Span>) -> Response<Bytes>;
 
     /// A caller's request as it is sent to a server; where a stream goes on, after the event with this id.
     fn request(
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Reason, Send, Verdict};
+use dahliastile_gateway::effect::{RefusalReason, Send, Verdict};
 use dahliastile_gateway::event::{Event, RequestId};
 use http::{Request, Response, request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -82,7 +82,7 @@
                 },
                 Some(Verdict::Deliver) => {
                     self.ticket.done = true;
-                    return whole(kept.unwrap_or_else(|| self.refuse(Reason::Failed, None)));
+                    return whole(kept.unwrap_or_else(|| self.refuse(RefusalReason::Failed, None)));
                 }
                 Some(Verdict::Refuse(reason, after)) => {
                     self.ticket.done = true;
@@ -90,13 +90,13 @@
                 }
                 Some(Verdict::Cut) | None => {
                     self.ticket.done = true;
-                    return whole(self.refuse(Reason::TimedOut, None));
+                    return whole(self.refuse(RefusalReason::TimedOut, None));
                 }
             }
         }
     }
 
-    fn refuse(&self, reason: Reason, after: Option<Span>) -> Response<Bytes> {
+    fn refuse(&self, reason: RefusalReason, after: Option<Span>) -> Response<Bytes> {
         self.ticket.hub.dialect.refused(reason, after)
     }
 
--- a/crates/shell/src/stream.rs
+++ b/crates/shell/src/stream.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Reason, Send, Verdict};
+use dahliastile_gateway::effect::{RefusalReason, Send, Verdict};
 use dahliastile_gateway::event::{Event, Execution, FailureCause};
 use http::response;
 use http_body_util::{BodyExt, Either};
@@ -89,7 +89,13 @@
         ended: false,
     };
     let Ok(answer) = builder.body(Either::Right(piped)) else {
-        return whole(asked.ticket.hub.dialect.refused(Reason::Failed, None));
+        return whole(
+            asked
+                .ticket
+                .hub
+                .dialect
+                .refused(RefusalReason::Failed, None),
+        );
     };
     let keep = pool::keep(&head.headers);
     tokio::task::spawn_local(pass(asked, send, body, connection, keep, pieces));
