--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -43,7 +43,7 @@
 
 /// One send of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct Attempt {
     /// The server.
     pub server: Server,
     /// Where it listens.
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It is sent to a server.
-    Send(Box<Send>),
+    Attempt(Box<Attempt>),
     /// The server's own failure is the answer.
     Deliver,
     /// It is refused, and the caller may come back after the span.
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -13,7 +13,7 @@
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use dahliastile_gateway::config::Config;
-use dahliastile_gateway::effect::{Op, Order, RefusalReason, Send};
+use dahliastile_gateway::effect::{Attempt, Op, Order, RefusalReason};
 use dahliastile_gateway::event::{CallerRequest, Event};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::Message;
@@ -126,7 +126,7 @@
     Order(usize, u64, u64, Server, Order, bool),
     Report(usize, u64, Server),
     Peer(usize, usize, Message),
-    Arrive(usize, u64, u64, Send),
+    Arrive(usize, u64, u64, Attempt),
     Head(notice::Head),
     Restart(usize),
     Expire,
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
-use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
+use dahliastile_gateway::effect::{Attempt, Effect, Op, Order, Verdict};
 use dahliastile_gateway::event::{
     Event, Execution, FailureCause, KvOutcome, LinkFault, OrderOutcome,
 };
@@ -207,7 +207,7 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, vm: usize, start: u64, number: u64, send: &Send) {
+    pub(super) fn arrive(&mut self, vm: usize, start: u64, number: u64, send: &Attempt) {
         let now = self.now;
         if self.servers.get(&send.server).is_some_and(|(e, _)| e.up) {
             self.reached(vm, &send.server, true);
@@ -383,10 +383,10 @@
     pub(super) fn perform(&mut self, vm: usize, effect: Effect) {
         let (now, start, net) = (self.now, self.hosts[vm].start, self.hosts[vm].net);
         match effect {
-            Effect::Request(number, Verdict::Send(send)) if net => {
+            Effect::Request(number, Verdict::Attempt(send)) if net => {
                 self.at(now + WAY, Act::Arrive(vm, start, number, *send));
             }
-            Effect::Request(number, Verdict::Send(_)) => {
+            Effect::Request(number, Verdict::Attempt(_)) => {
                 let event = Event::AttemptFailed(number, Execution::No, FailureCause::Unreachable);
                 self.at(now + Span::from_millis(400), Act::Event(vm, start, event));
             }
--- a/crates/shell/src/attempt.rs
+++ b/crates/shell/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One send of a request to a server, up to the head of a stream or the end of a whole answer.
 
 use bytes::Bytes;
-use dahliastile_gateway::effect::Send;
+use dahliastile_gateway::effect::Attempt;
 use dahliastile_gateway::event::{Execution, FailureCause};
 use http::{Response, request, response};
 use http_body_util::{BodyExt, Full, Limited};
@@ -30,7 +30,7 @@
     hub: &Hub<D>,
     head: &request::Parts,
     body: &Bytes,
-    send: &Send,
+    send: &Attempt,
     after: Option<&str>,
 ) -> Tried {
     let request = hub
--- a/crates/shell/src/dialect.rs
+++ b/crates/shell/src/dialect.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Op, Order, RefusalReason, Send};
+use dahliastile_gateway::effect::{Attempt, Op, Order, RefusalReason};
 use dahliastile_gateway::event::{CallerRequest, FailureCause, KvOutcome, OrderOutcome, Report};
 use dahliastile_gateway::request::notice::Notice;
 use dahliastile_gateway::settings::Tuning;
@@ -56,7 +56,7 @@
         &self,
         head: &request::Parts,
         body: Bytes,
-        send: &Send,
+        send: &Attempt,
         after: Option<&str>,
     ) -> Request<Bytes>;
 
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{RefusalReason, Send, Verdict};
+use dahliastile_gateway::effect::{Attempt, RefusalReason, Verdict};
 use dahliastile_gateway::event::{Event, RequestId};
 use http::{Request, Response, request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -71,7 +71,7 @@
         let mut next = self.verdicts.recv().await;
         loop {
             match next {
-                Some(Verdict::Send(send)) => match self.send(&send).await {
+                Some(Verdict::Attempt(send)) => match self.send(&send).await {
                     Step::Answer(answer) => return whole(answer),
                     Step::Stream(stream) => return stream::begin(self, *send, *stream),
                     Step::Failed(response) => {
@@ -101,7 +101,7 @@
     }
 
     /// Sends the request once, unless the gateway says otherwise meanwhile.
-    async fn send(&mut self, send: &Send) -> Step {
+    async fn send(&mut self, send: &Attempt) -> Step {
         let hub = self.ticket.hub.clone();
         let id: RequestId = self.ticket.id;
         let tried = tokio::select! {
--- a/crates/shell/src/stream.rs
+++ b/crates/shell/src/stream.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{RefusalReason, Send, Verdict};
+use dahliastile_gateway::effect::{Attempt, RefusalReason, Verdict};
 use dahliastile_gateway::event::{Event, Execution, FailureCause};
 use http::response;
 use http_body_util::{BodyExt, Either};
@@ -80,7 +80,7 @@
 }
 
 /// Answers with a stream that a task of its own passes on.
-pub(crate) fn begin<D: Dialect>(asked: Asked<D>, send: Send, begun: Begun) -> Answer {
+pub(crate) fn begin<D: Dialect>(asked: Asked<D>, send: Attempt, begun: Begun) -> Answer {
     let (head, body, connection) = begun;
     let (pieces, receiver) = mpsc::channel(PIECES);
     let builder = asked.ticket.hub.dialect.answer(&head);
@@ -104,7 +104,7 @@
 
 async fn pass<D: Dialect>(
     mut asked: Asked<D>,
-    send: Send,
+    send: Attempt,
     mut body: Incoming,
     mut connection: Connection,
     mut keep: Option<std::time::Duration>,
@@ -195,7 +195,7 @@
     let hub = asked.ticket.hub.clone();
     let id = asked.ticket.id;
     loop {
-        let Some(Verdict::Send(send)) = asked.verdicts.recv().await else {
+        let Some(Verdict::Attempt(send)) = asked.verdicts.recv().await else {
             asked.ticket.done = true;
             return None;
         };
