--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -64,7 +64,7 @@
 
 /// What becomes of a request next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum NextStep {
     /// It is sent to a server.
     Attempt(Box<Attempt>),
     /// The server's own failure is the answer.
@@ -153,7 +153,7 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Tells a request's task what to do.
-    Request(RequestId, Verdict),
+    Request(RequestId, NextStep),
     /// Calls the key-value service.
     Store(OpId, Op),
     /// Orders something of a server.
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -16,7 +16,7 @@
 use crate::account::{Account, Tokens};
 use crate::cluster::snapshot::Version;
 use crate::config::{Kind, Route, Target};
-use crate::effect::{Attempt, Effect, Effects, RefusalReason, Verdict};
+use crate::effect::{Attempt, Effect, Effects, NextStep, RefusalReason};
 use crate::event::{CallerRequest, RequestId};
 use crate::measure;
 use crate::message::{PlacementRequest, Progress};
@@ -289,7 +289,7 @@
         if first {
             measure::time(out, Figure::QueueWait, &service, waited);
         }
-        out.push(Effect::Request(request, Verdict::Attempt(Box::new(send))));
+        out.push(Effect::Request(request, NextStep::Attempt(Box::new(send))));
     }
 
     /// The first piece of an answer has come.
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -7,7 +7,7 @@
 
 use super::Phase;
 use crate::config::Kind;
-use crate::effect::{Effect, Effects, RefusalReason, Verdict};
+use crate::effect::{Effect, Effects, NextStep, RefusalReason};
 use crate::event::{Execution, FailureCause, RequestId};
 use crate::measure;
 use crate::message::Progress;
@@ -133,7 +133,7 @@
             }
             _ if may && in_time && self.spend(request) => self.find_server(request, out),
             FailureCause::Status(_) => {
-                out.push(Effect::Request(request, Verdict::Deliver));
+                out.push(Effect::Request(request, NextStep::Deliver));
                 self.end(request, Progress::Finished, out);
             }
             _ => self.refuse_request(request, Some(COME_BACK), RefusalDetail::SendFailed, out),
@@ -182,7 +182,7 @@
             ),
         );
         let effect = match sent || state.ran > 0 {
-            _ if begun => Effect::Request(request, Verdict::Cut),
+            _ if begun => Effect::Request(request, NextStep::Cut),
             true => refusal(request, RefusalReason::TimedOut, None),
             false => refusal(request, RefusalReason::Overloaded, Some(COME_BACK)),
         };
@@ -251,7 +251,7 @@
 }
 
 pub(crate) fn refusal(request: RequestId, reason: RefusalReason, after: Option<Span>) -> Effect {
-    Effect::Request(request, Verdict::Refuse(reason, after))
+    Effect::Request(request, NextStep::Refuse(reason, after))
 }
 
 fn judge(health: &mut Health, cause: FailureCause, now: Instant) {
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
-use dahliastile_gateway::effect::{Attempt, Effect, Op, Order, Verdict};
+use dahliastile_gateway::effect::{Attempt, Effect, NextStep, Op, Order};
 use dahliastile_gateway::event::{
     Event, Execution, FailureCause, KvOutcome, LinkFault, OrderOutcome,
 };
@@ -383,17 +383,17 @@
     pub(super) fn perform(&mut self, vm: usize, effect: Effect) {
         let (now, start, net) = (self.now, self.hosts[vm].start, self.hosts[vm].net);
         match effect {
-            Effect::Request(number, Verdict::Attempt(send)) if net => {
+            Effect::Request(number, NextStep::Attempt(send)) if net => {
                 self.at(now + WAY, Act::Arrive(vm, start, number, *send));
             }
-            Effect::Request(number, Verdict::Attempt(_)) => {
+            Effect::Request(number, NextStep::Attempt(_)) => {
                 let event = Event::AttemptFailed(number, Execution::No, FailureCause::Unreachable);
                 self.at(now + Span::from_millis(400), Act::Event(vm, start, event));
             }
             Effect::Request(number, verdict) => {
                 let answer = match verdict {
-                    Verdict::Refuse(reason, after) => Answer::Refused(reason, after),
-                    Verdict::Deliver => Answer::Failure,
+                    NextStep::Refuse(reason, after) => Answer::Refused(reason, after),
+                    NextStep::Deliver => Answer::Failure,
                     _ => Answer::Cut,
                 };
                 if let Some(asked) = self.asked.get_mut(&number) {
--- a/crates/shell/src/hub.rs
+++ b/crates/shell/src/hub.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use dahliastile_core::id::Server;
-use dahliastile_gateway::effect::Verdict;
+use dahliastile_gateway::effect::NextStep;
 use dahliastile_gateway::event::{Event, RequestId};
 use dahliastile_gateway::request::notice::Notice;
 use metrics_exporter_prometheus::PrometheusHandle;
@@ -25,7 +25,7 @@
     /// Where events go.
     mailbox: flume::Sender<Event>,
     /// The requests in progress, each with what its task is told through.
-    requests: RefCell<FxHashMap<RequestId, mpsc::UnboundedSender<Verdict>>>,
+    requests: RefCell<FxHashMap<RequestId, mpsc::UnboundedSender<NextStep>>>,
     /// The servers all of whose answers are told, and when each last said something of itself.
     tracked: RefCell<FxHashMap<Server, Instant>>,
     /// The last number given to a request.
@@ -116,7 +116,7 @@
     }
 
     /// A new request, and what its task is told through.
-    pub(crate) fn open(&self) -> (RequestId, mpsc::UnboundedReceiver<Verdict>) {
+    pub(crate) fn open(&self) -> (RequestId, mpsc::UnboundedReceiver<NextStep>) {
         let id = self.last.get() + 1;
         self.last.set(id);
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -135,7 +135,7 @@
     }
 
     /// Tells a request's task what to do. One that is over by now hears nothing.
-    pub(crate) fn tell(&self, id: RequestId, verdict: Verdict) {
+    pub(crate) fn tell(&self, id: RequestId, verdict: NextStep) {
         if let Some(sender) = self.requests.borrow().get(&id) {
             let _ = sender.send(verdict);
         }
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Attempt, RefusalReason, Verdict};
+use dahliastile_gateway::effect::{Attempt, NextStep, RefusalReason};
 use dahliastile_gateway::event::{Event, RequestId};
 use http::{Request, Response, request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -26,7 +26,7 @@
     /// Its body.
     pub(crate) body: Bytes,
     /// What the gateway says.
-    pub(crate) verdicts: UnboundedReceiver<Verdict>,
+    pub(crate) verdicts: UnboundedReceiver<NextStep>,
 }
 
 /// Serves one request.
@@ -71,7 +71,7 @@
         let mut next = self.verdicts.recv().await;
         loop {
             match next {
-                Some(Verdict::Attempt(send)) => match self.send(&send).await {
+                Some(NextStep::Attempt(send)) => match self.send(&send).await {
                     Step::Answer(answer) => return whole(answer),
                     Step::Stream(stream) => return stream::begin(self, *send, *stream),
                     Step::Failed(response) => {
@@ -80,15 +80,15 @@
                     }
                     Step::Told(verdict) => next = verdict,
                 },
-                Some(Verdict::Deliver) => {
+                Some(NextStep::Deliver) => {
                     self.ticket.done = true;
                     return whole(kept.unwrap_or_else(|| self.refuse(RefusalReason::Failed, None)));
                 }
-                Some(Verdict::Refuse(reason, after)) => {
+                Some(NextStep::Refuse(reason, after)) => {
                     self.ticket.done = true;
                     return whole(self.refuse(reason, after));
                 }
-                Some(Verdict::Cut) | None => {
+                Some(NextStep::Cut) | None => {
                     self.ticket.done = true;
                     return whole(self.refuse(RefusalReason::TimedOut, None));
                 }
@@ -134,5 +134,5 @@
     /// The server failed, perhaps with an answer that can be passed on.
     Failed(Option<Response<Bytes>>),
     /// The gateway said something meanwhile.
-    Told(Option<Verdict>),
+    Told(Option<NextStep>),
 }
--- a/crates/shell/src/stream.rs
+++ b/crates/shell/src/stream.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Attempt, RefusalReason, Verdict};
+use dahliastile_gateway::effect::{Attempt, NextStep, RefusalReason};
 use dahliastile_gateway::event::{Event, Execution, FailureCause};
 use http::response;
 use http_body_util::{BodyExt, Either};
@@ -195,7 +195,7 @@
     let hub = asked.ticket.hub.clone();
     let id = asked.ticket.id;
     loop {
-        let Some(Verdict::Attempt(send)) = asked.verdicts.recv().await else {
+        let Some(NextStep::Attempt(send)) = asked.verdicts.recv().await else {
             asked.ticket.done = true;
             return None;
         };
