--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -68,7 +68,7 @@
     /// It is sent to a server.
     Attempt(Box<Attempt>),
     /// The server's own failure is the answer.
-    Deliver,
+    ForwardFailure,
     /// It is refused, and the caller may come back after the span.
     Refuse(RefusalReason, Option<Span>),
     /// Its time is over in the midst of its answer, which is broken off.
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -133,7 +133,7 @@
             }
             _ if may && in_time && self.spend(request) => self.find_server(request, out),
             FailureCause::Status(_) => {
-                out.push(Effect::Request(request, NextStep::Deliver));
+                out.push(Effect::Request(request, NextStep::ForwardFailure));
                 self.end(request, Progress::Finished, out);
             }
             _ => self.refuse_request(request, Some(COME_BACK), RefusalDetail::SendFailed, out),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -393,7 +393,7 @@
             Effect::Request(number, verdict) => {
                 let answer = match verdict {
                     NextStep::Refuse(reason, after) => Answer::Refused(reason, after),
-                    NextStep::Deliver => Answer::Failure,
+                    NextStep::ForwardFailure => Answer::Failure,
                     _ => Answer::Cut,
                 };
                 if let Some(asked) = self.asked.get_mut(&number) {
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -80,7 +80,7 @@
                     }
                     Step::Told(verdict) => next = verdict,
                 },
-                Some(NextStep::Deliver) => {
+                Some(NextStep::ForwardFailure) => {
                     self.ticket.done = true;
                     return whole(kept.unwrap_or_else(|| self.refuse(RefusalReason::Failed, None)));
                 }
