--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -72,7 +72,7 @@
     /// It is refused, and the caller may come back after the span.
     Refuse(RefusalReason, Option<Span>),
     /// Its time is over in the midst of its answer, which is broken off.
-    Cut,
+    AbortAnswer,
 }
 
 /// What an order asks of an engine.
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -182,7 +182,7 @@
             ),
         );
         let effect = match sent || state.ran > 0 {
-            _ if begun => Effect::Request(request, NextStep::Cut),
+            _ if begun => Effect::Request(request, NextStep::AbortAnswer),
             true => refusal(request, RefusalReason::TimedOut, None),
             false => refusal(request, RefusalReason::Overloaded, Some(COME_BACK)),
         };
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -88,7 +88,7 @@
                     self.ticket.done = true;
                     return whole(self.refuse(reason, after));
                 }
-                Some(NextStep::Cut) | None => {
+                Some(NextStep::AbortAnswer) | None => {
                     self.ticket.done = true;
                     return whole(self.refuse(RefusalReason::TimedOut, None));
                 }
