--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -16,7 +16,7 @@
 use crate::cluster::exclusion;
 use crate::cluster::membership;
 use crate::cluster::snapshot::{Delivery, Revision};
-use crate::effect::{Effect, Effects, Op, OpId, Reach};
+use crate::effect::{Effect, Effects, Locality, Op, OpId};
 use crate::event::KvOutcome;
 use crate::message::Message;
 use crate::node::Gateway;
@@ -316,7 +316,7 @@
         let seeds: Vec<SocketAddr> = seeds.copied().collect();
         if !seeds.is_empty() {
             let seed = seeds[self.rng.random_range(0..seeds.len())];
-            out.push(Effect::Peer(seed, Reach::Beyond, question));
+            out.push(Effect::Peer(seed, Locality::Beyond, question));
         }
     }
 }
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -131,14 +131,14 @@
 
 /// How far a message to another VM goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Reach {
+pub enum Locality {
     /// It stays in this VM's availability zone.
     Zone,
     /// It leaves it, or may.
     Beyond,
 }
 
-impl Reach {
+impl Locality {
     /// Its name, for figures.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -165,7 +165,7 @@
     /// Has all answers of a server told, also those that say nothing of it; or only those that do.
     Track(Server, bool),
     /// Sends a message to the VM at an address.
-    Peer(SocketAddr, Reach, Message),
+    Peer(SocketAddr, Locality, Message),
     /// Writes a log event.
     Log(Record),
     /// Counts or observes a figure.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -21,7 +21,7 @@
 use crate::cluster::watch;
 use crate::config::startup_queue;
 use crate::config::{Config, Index, Limits};
-use crate::effect::{Effect, Effects, Op, OpId, Reach};
+use crate::effect::{Effect, Effects, Locality, Op, OpId};
 use crate::event::{Event, RequestId};
 use crate::feature::Feature;
 use crate::measure;
@@ -199,7 +199,11 @@
         match self.membership.address(to) {
             Some(address) => {
                 let near = self.membership.zone(to) == Some(&self.settings.zone);
-                let reach = if near { Reach::Zone } else { Reach::Beyond };
+                let reach = if near {
+                    Locality::Zone
+                } else {
+                    Locality::Beyond
+                };
                 out.push(Effect::Peer(address, reach, message));
             }
             None => measure::plain(out, Figure::Dropped, "peer_unknown"),
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::id::{Incarnation, Vm};
 use dahliastile_core::metric::Figure;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::Reach;
+use dahliastile_gateway::effect::Locality;
 use dahliastile_gateway::event::{Event, LinkFault};
 use dahliastile_gateway::message::{Message, encode_each};
 use dahliastile_wire::exchange::{Sender, Sink, serve};
@@ -40,7 +40,7 @@
     /// Says that there are some.
     wake: Notify,
     /// How far they go.
-    reach: Reach,
+    reach: Locality,
 }
 
 /// Links to other VMs, made when there is something to send.
@@ -74,7 +74,7 @@
     }
 
     /// Sends a message without waiting. It may be lost.
-    pub(crate) fn send(self: &Rc<Self>, address: SocketAddr, reach: Reach, message: Message) {
+    pub(crate) fn send(self: &Rc<Self>, address: SocketAddr, reach: Locality, message: Message) {
         let known = self.queues.borrow().get(&address).cloned();
         let queue = known.unwrap_or_else(|| self.open(address, reach));
         let mut messages = queue.messages.borrow_mut();
@@ -85,7 +85,7 @@
         queue.wake.notify_one();
     }
 
-    fn open(self: &Rc<Self>, address: SocketAddr, reach: Reach) -> Rc<Queue> {
+    fn open(self: &Rc<Self>, address: SocketAddr, reach: Locality) -> Rc<Queue> {
         let queue = Rc::new(Queue {
             messages: RefCell::default(),
             wake: Notify::new(),
@@ -114,7 +114,7 @@
     }
 
     /// Messages as one batch, each counted.
-    fn encode(&self, messages: &[Message], reach: Reach) -> Option<Vec<u8>> {
+    fn encode(&self, messages: &[Message], reach: Locality) -> Option<Vec<u8>> {
         encode_each(messages, |message, bytes| {
             let label = format!("{}_{}", message.kind(), reach.name());
             self.figures.count(Figure::PeerMessages, 1, label.clone());
