--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -133,7 +133,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Locality {
     /// It stays in this VM's availability zone.
-    Zone,
+    SameZone,
     /// It leaves it, or may.
     Beyond,
 }
@@ -143,7 +143,7 @@
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Zone => "zone",
+            Self::SameZone => "zone",
             Self::Beyond => "beyond",
         }
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -200,7 +200,7 @@
             Some(address) => {
                 let near = self.membership.zone(to) == Some(&self.settings.zone);
                 let reach = if near {
-                    Locality::Zone
+                    Locality::SameZone
                 } else {
                     Locality::Beyond
                 };
