--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -135,7 +135,7 @@
     /// It stays in this VM's availability zone.
     SameZone,
     /// It leaves it, or may.
-    Beyond,
+    CrossZone,
 }
 
 impl Locality {
@@ -144,7 +144,7 @@
     pub const fn name(self) -> &'static str {
         match self {
             Self::SameZone => "zone",
-            Self::Beyond => "beyond",
+            Self::CrossZone => "beyond",
         }
     }
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -202,7 +202,7 @@
                 let reach = if near {
                     Locality::SameZone
                 } else {
-                    Locality::Beyond
+                    Locality::CrossZone
                 };
                 out.push(Effect::Peer(address, reach, message));
             }
