--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -226,7 +226,7 @@
             Self::log(out, Code::ServerGone, format!("server={server}"));
             let leaving = self.notices.leaving(server).is_some();
             self.notices.server_unlisted(server, self.now);
-            out.push(Effect::Track(server.clone(), false));
+            out.push(Effect::TrackAnswers(server.clone(), false));
             // The end of one that was leaving is its own.
             if row.backend.ready && !leaving {
                 self.server_ended(server, out);
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -163,7 +163,7 @@
     /// Makes a connection to a server, to see whether it takes any.
     Probe(Server, SocketAddr),
     /// Has all answers of a server told, also those that say nothing of it; or only those that do.
-    Track(Server, bool),
+    TrackAnswers(Server, bool),
     /// Sends a message to the VM at an address.
     Peer(SocketAddr, Locality, Message),
     /// Writes a log event.
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -211,7 +211,7 @@
     /// What a server said of itself is that of an earlier start.
     pub(crate) fn forget_notices(&mut self, server: &Server, out: &mut Effects) {
         if self.notices.rows.remove(server).is_some() {
-            out.push(Effect::Track(server.clone(), false));
+            out.push(Effect::TrackAnswers(server.clone(), false));
         }
     }
 }
--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -57,7 +57,7 @@
             Self::log(out, Code::ServerNotice, detail);
         }
         if limit.is_some() != was.is_some() {
-            out.push(Effect::Track(server.clone(), limit.is_some()));
+            out.push(Effect::TrackAnswers(server.clone(), limit.is_some()));
             if self.counting_vm(server) == self.settings.vm {
                 self.broadcast(&Message::ServerRateLimit(server.clone(), limit), out);
             }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -405,7 +405,7 @@
                 self.at(now + STORE_WAY, Act::Store(vm, start, op, call));
             }
             Effect::Order(id, server, _, order) => self.send_order(vm, id, server, order),
-            Effect::Track(server, all) => self.track(vm, server, all),
+            Effect::TrackAnswers(server, all) => self.track(vm, server, all),
             Effect::Probe(server, _) => self.probe(vm, server),
             Effect::Report(server, _) if net => self.at(now + WAY, Act::Report(vm, start, server)),
             Effect::Report(server, _) => {
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -145,7 +145,7 @@
                     hub.post(Event::Probed(server, presence));
                 });
             }
-            Effect::Track(server, all) => self.hub.track(server, all),
+            Effect::TrackAnswers(server, all) => self.hub.track(server, all),
             Effect::Report(server, address) => {
                 let hub = self.hub.clone();
                 let answer = hub
