--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -155,7 +155,7 @@
     /// Tells a request's task what to do.
     Request(RequestId, NextStep),
     /// Calls the key-value service.
-    Store(OpId, Op),
+    KvCall(OpId, Op),
     /// Orders something of a server.
     Order(OrderId, Server, SocketAddr, Order),
     /// Asks a server for its report.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -258,7 +258,7 @@
     pub(crate) fn store(&mut self, op: Op, out: &mut Effects) -> OpId {
         measure::plain(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
-        out.push(Effect::Store(id, op));
+        out.push(Effect::KvCall(id, op));
         id
     }
 
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -400,7 +400,7 @@
                     asked.ended = Some((now, answer));
                 }
             }
-            Effect::Store(op, call) => {
+            Effect::KvCall(op, call) => {
                 self.tried += 1;
                 self.at(now + STORE_WAY, Act::Store(vm, start, op, call));
             }
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -127,7 +127,7 @@
             Effect::Peer(address, reach, message) => self.peers.send(address, reach, message),
             Effect::Log(record) => self.journal.write(now, &record),
             Effect::Measure(sample) => self.figures.take(sample),
-            Effect::Store(id, op) => self.call_store(id, op),
+            Effect::KvCall(id, op) => self.call_store(id, op),
             Effect::Order(id, server, address, order) => {
                 let hub = self.hub.clone();
                 let answer = hub
