--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -316,7 +316,7 @@
         let seeds: Vec<SocketAddr> = seeds.copied().collect();
         if !seeds.is_empty() {
             let seed = seeds[self.rng.random_range(0..seeds.len())];
-            out.push(Effect::Peer(seed, Locality::CrossZone, question));
+            out.push(Effect::SendMessage(seed, Locality::CrossZone, question));
         }
     }
 }
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -165,7 +165,7 @@
     /// Has all answers of a server told, also those that say nothing of it; or only those that do.
     TrackAnswers(Server, bool),
     /// Sends a message to the VM at an address.
-    Peer(SocketAddr, Locality, Message),
+    SendMessage(SocketAddr, Locality, Message),
     /// Writes a log event.
     Log(Record),
     /// Counts or observes a figure.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -204,7 +204,7 @@
                 } else {
                     Locality::CrossZone
                 };
-                out.push(Effect::Peer(address, reach, message));
+                out.push(Effect::SendMessage(address, reach, message));
             }
             None => measure::plain(out, Figure::Dropped, "peer_unknown"),
         }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -414,7 +414,7 @@
                     Act::Event(vm, start, Event::ReportReceived(server, None)),
                 );
             }
-            Effect::Peer(address, _, message) => {
+            Effect::SendMessage(address, _, message) => {
                 self.messages += 1;
                 *self.sent.entry(message.kind()).or_default() += 1;
                 let to = (0..self.hosts.len()).find(|to| setup::address(1, *to) == address);
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -124,7 +124,9 @@
     fn perform(&mut self, now: Instant, effect: Effect) {
         match effect {
             Effect::Request(id, verdict) => self.hub.tell(id, verdict),
-            Effect::Peer(address, reach, message) => self.peers.send(address, reach, message),
+            Effect::SendMessage(address, reach, message) => {
+                self.peers.send(address, reach, message)
+            }
             Effect::Log(record) => self.journal.write(now, &record),
             Effect::Measure(sample) => self.figures.take(sample),
             Effect::KvCall(id, op) => self.call_store(id, op),
