--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -17,7 +17,7 @@
 use crate::cluster::candidacy::{Candidacy, MIN_TENURE};
 use crate::cluster::lease::{Kept, Terms};
 use crate::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Holder, proposed_change};
-use crate::effect::{Effects, Op, OpId};
+use crate::effect::{Effects, KvOperation, OpId};
 use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::scheduler::Scheduler;
@@ -278,7 +278,7 @@
                 Code::SeatLeft,
                 format!("service={service} fence={revision}"),
             );
-            self.leadership_call(Purpose::Other, Op::Remove(subject, revision), out);
+            self.leadership_call(Purpose::Other, KvOperation::Remove(subject, revision), out);
         }
     }
 
@@ -295,7 +295,7 @@
         change.value == Some(EntryValue::Holder(self.as_holder()))
     }
 
-    fn leadership_call(&mut self, purpose: Purpose, op: Op, out: &mut Effects) {
+    fn leadership_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
         let now = self.now;
         let id = self.store(op, out);
         self.leaderships.calls.insert(id, (purpose, now));
@@ -428,6 +428,6 @@
         let member = EntryKey::Member(self.settings.vm.clone());
         let conditions = vec![(subject.clone(), expected), (member, entry)];
         let change = proposed_change(subject, EntryValue::Holder(self.as_holder()));
-        self.leadership_call(purpose, Op::Put(change, lease, conditions), out);
+        self.leadership_call(purpose, KvOperation::Put(change, lease, conditions), out);
     }
 }
--- a/crates/gateway/src/cluster/lease.rs
+++ b/crates/gateway/src/cluster/lease.rs
@@ -4,7 +4,7 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use crate::effect::Op;
+use crate::effect::KvOperation;
 use crate::event::Lease;
 
 /// How one kind of lease is kept.
@@ -31,10 +31,10 @@
 
 impl Due {
     /// The call, for a lease that lives so long.
-    pub(crate) fn op(self, ttl: Span) -> Op {
+    pub(crate) fn op(self, ttl: Span) -> KvOperation {
         match self {
-            Self::Grant => Op::Grant(ttl),
-            Self::Renew(lease) => Op::Renew(lease),
+            Self::Grant => KvOperation::Grant(ttl),
+            Self::Renew(lease) => KvOperation::Renew(lease),
         }
     }
 }
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -11,7 +11,7 @@
 
 use crate::cluster::lease::{Kept, Terms};
 use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, proposed_change};
-use crate::effect::{Effects, Op, OpId};
+use crate::effect::{Effects, KvOperation, OpId};
 use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::timer::Timer;
@@ -173,7 +173,7 @@
     pub(crate) fn deregister(&mut self, out: &mut Effects) {
         if let Some(lease) = self.registration.lease.id() {
             self.registration.lease.drop_it();
-            self.registration_call(Purpose::End, Op::End(lease), out);
+            self.registration_call(Purpose::End, KvOperation::End(lease), out);
         }
     }
 
@@ -190,10 +190,14 @@
         };
         let fact = EntryValue::Member(self.member());
         let change = proposed_change(EntryKey::Member(self.settings.vm.clone()), fact);
-        self.registration_call(Purpose::Write, Op::Put(change, lease, Vec::new()), out);
+        self.registration_call(
+            Purpose::Write,
+            KvOperation::Put(change, lease, Vec::new()),
+            out,
+        );
     }
 
-    fn registration_call(&mut self, purpose: Purpose, op: Op, out: &mut Effects) {
+    fn registration_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
         let now = self.now;
         let id = self.store(op, out);
         self.registration.calls.insert(id, (purpose, now));
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -16,7 +16,7 @@
 use crate::cluster::exclusion;
 use crate::cluster::membership;
 use crate::cluster::snapshot::{Delivery, Revision};
-use crate::effect::{Effect, Effects, Locality, Op, OpId};
+use crate::effect::{Effect, Effects, KvOperation, Locality, OpId};
 use crate::event::KvOutcome;
 use crate::message::Message;
 use crate::node::Gateway;
@@ -92,7 +92,7 @@
 
 impl Gateway {
     pub(crate) fn start_watching(&mut self, out: &mut Effects) {
-        self.watch.op = Some(self.store(Op::List, out));
+        self.watch.op = Some(self.store(KvOperation::List, out));
     }
 
     /// The call in progress came back.
@@ -117,7 +117,7 @@
             KvOutcome::Compacted => {
                 self.watch.cursor = None;
                 Self::log(out, Code::StoreCompacted, "next=list".to_owned());
-                self.watch.op = Some(self.store(Op::List, out));
+                self.watch.op = Some(self.store(KvOperation::List, out));
             }
             other => self.store_away(&other, out),
         }
@@ -169,8 +169,8 @@
         }
         let wait = self.settings.tuning.watch;
         let op = match self.watch.cursor {
-            Some(revision) => Op::Watch(revision, wait),
-            None => Op::List,
+            Some(revision) => KvOperation::Watch(revision, wait),
+            None => KvOperation::List,
         };
         self.watch.op = Some(self.store(op, out));
     }
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -96,7 +96,7 @@
 
 /// A call of the key-value service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Op {
+pub enum KvOperation {
     /// Read everything.
     List,
     /// Wait for changes after a revision.
@@ -113,7 +113,7 @@
     Remove(EntryKey, Revision),
 }
 
-impl Op {
+impl KvOperation {
     /// What kind of call it is, for figures.
     #[must_use]
     pub const fn name(&self) -> &'static str {
@@ -155,7 +155,7 @@
     /// Tells a request's task what to do.
     Request(RequestId, NextStep),
     /// Calls the key-value service.
-    KvCall(OpId, Op),
+    KvCall(OpId, KvOperation),
     /// Orders something of a server.
     Order(OrderId, Server, SocketAddr, Order),
     /// Asks a server for its report.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -21,7 +21,7 @@
 use crate::cluster::watch;
 use crate::config::startup_queue;
 use crate::config::{Config, Index, Limits};
-use crate::effect::{Effect, Effects, Locality, Op, OpId};
+use crate::effect::{Effect, Effects, KvOperation, Locality, OpId};
 use crate::event::{Event, RequestId};
 use crate::feature::Feature;
 use crate::measure;
@@ -255,7 +255,7 @@
         }
     }
 
-    pub(crate) fn store(&mut self, op: Op, out: &mut Effects) -> OpId {
+    pub(crate) fn store(&mut self, op: KvOperation, out: &mut Effects) -> OpId {
         measure::plain(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
         out.push(Effect::KvCall(id, op));
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -8,7 +8,7 @@
 use super::QUARANTINE_DURATION;
 use crate::cluster::lease::backoff;
 use crate::cluster::snapshot::{Delivery, EntryKey, EntryValue, Revision, proposed_change};
-use crate::effect::{Effects, Op, OpId};
+use crate::effect::{Effects, KvOperation, OpId};
 use crate::event::{KvOutcome, Lease};
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
@@ -166,12 +166,14 @@
                 self.quarantine.records.goals.insert(fingerprint, again);
                 return;
             }
-            (Goal::Absent(_), Some(revision), _) => (purpose, Op::Remove(subject, revision)),
+            (Goal::Absent(_), Some(revision), _) => {
+                (purpose, KvOperation::Remove(subject, revision))
+            }
             (Goal::Present, _, Some(lease)) => {
                 let change = proposed_change(subject.clone(), EntryValue::Quarantine);
-                (purpose, Op::Put(change, lease, vec![(subject, 0)]))
+                (purpose, KvOperation::Put(change, lease, vec![(subject, 0)]))
             }
-            (Goal::Present, _, None) => (Purpose::Lease, Op::Grant(QUARANTINE_DURATION)),
+            (Goal::Present, _, None) => (Purpose::Lease, KvOperation::Grant(QUARANTINE_DURATION)),
         };
         let id = self.store(op, out);
         self.quarantine.records.call = Some((id, purpose));
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -4,7 +4,7 @@
 
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, EntryValue, Revision};
-use dahliastile_gateway::effect::Op;
+use dahliastile_gateway::effect::KvOperation;
 use dahliastile_gateway::event::{KvOutcome, Lease};
 
 /// One call that waits for changes.
@@ -113,10 +113,16 @@
     }
 
     /// Carries a call out; none where it waits.
-    pub fn call(&mut self, now: Instant, vm: usize, op: u64, call: Op) -> Option<KvOutcome> {
+    pub fn call(
+        &mut self,
+        now: Instant,
+        vm: usize,
+        op: u64,
+        call: KvOperation,
+    ) -> Option<KvOutcome> {
         self.calls += 1;
         match call {
-            Op::List => {
+            KvOperation::List => {
                 let items = self
                     .items
                     .values()
@@ -124,8 +130,8 @@
                     .collect();
                 Some(KvOutcome::Listed(items, self.revision))
             }
-            Op::Watch(after, _) if after < self.compacted => Some(KvOutcome::Compacted),
-            Op::Watch(after, wait) => {
+            KvOperation::Watch(after, _) if after < self.compacted => Some(KvOutcome::Compacted),
+            KvOperation::Watch(after, wait) => {
                 self.watched_by.insert(vm);
                 self.waiters.push(Waiter {
                     vm,
@@ -135,24 +141,26 @@
                 });
                 None
             }
-            Op::Grant(ttl) => {
+            KvOperation::Grant(ttl) => {
                 self.revision += 1;
                 self.leases.insert(self.revision, (ttl, now + ttl));
                 Some(KvOutcome::Granted(self.revision, ttl))
             }
-            Op::Renew(lease) => Some(match self.leases.get_mut(&lease) {
+            KvOperation::Renew(lease) => Some(match self.leases.get_mut(&lease) {
                 Some((ttl, end)) => {
                     *end = now + *ttl;
                     KvOutcome::Renewed(*ttl)
                 }
                 None => KvOutcome::NoLease,
             }),
-            Op::End(lease) => {
+            KvOperation::End(lease) => {
                 self.end(lease);
                 Some(KvOutcome::NoLease)
             }
-            Op::Put(change, lease, conditions) => Some(self.write(change, lease, &conditions)),
-            Op::Remove(subject, revision) => {
+            KvOperation::Put(change, lease, conditions) => {
+                Some(self.write(change, lease, &conditions))
+            }
+            KvOperation::Remove(subject, revision) => {
                 let fits = self.get(&subject).is_some_and(|c| c.revision == revision);
                 if !fits {
                     return Some(self.conflict(&subject));
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -13,7 +13,7 @@
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use dahliastile_gateway::config::Config;
-use dahliastile_gateway::effect::{Attempt, Op, Order, RefusalReason};
+use dahliastile_gateway::effect::{Attempt, KvOperation, Order, RefusalReason};
 use dahliastile_gateway::event::{CallerRequest, Event};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::Message;
@@ -122,7 +122,7 @@
 enum Act {
     Event(usize, u64, Event),
     Wake(usize, u64),
-    Store(usize, u64, u64, Op),
+    Store(usize, u64, u64, KvOperation),
     Order(usize, u64, u64, Server, Order, bool),
     Report(usize, u64, Server),
     Peer(usize, usize, Message),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
 use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
-use dahliastile_gateway::effect::{Attempt, Effect, NextStep, Op, Order};
+use dahliastile_gateway::effect::{Attempt, Effect, KvOperation, NextStep, Order};
 use dahliastile_gateway::event::{
     Event, Execution, FailureCause, KvOutcome, LinkFault, OrderOutcome,
 };
@@ -113,7 +113,7 @@
         }
     }
 
-    pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: Op) {
+    pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: KvOperation) {
         if self.hosts[vm].silent {
             let event = Event::KvAnswered(op, KvOutcome::Unknown);
             self.at(self.now + SILENT_CALL, Act::Event(vm, start, event));
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::log::{Code, Record};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::effect::{Effect, Effects, Op};
+use dahliastile_gateway::effect::{Effect, Effects, KvOperation};
 use dahliastile_gateway::event::Event;
 
 use crate::clock::{Clock, duration};
@@ -161,7 +161,7 @@
         }
     }
 
-    fn call_store(&self, id: u64, op: Op) {
+    fn call_store(&self, id: u64, op: KvOperation) {
         let hub = self.hub.clone();
         let answer = hub.dialect.store(hub.client.clone(), op);
         tokio::task::spawn_local(async move { hub.post(Event::KvAnswered(id, answer.await)) });
