--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -17,7 +17,7 @@
 use crate::cluster::candidacy::{Candidacy, MIN_TENURE};
 use crate::cluster::lease::{Kept, Terms};
 use crate::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Holder, proposed_change};
-use crate::effect::{Effects, KvOperation, OpId};
+use crate::effect::{Effects, KvOperation, KvOperationId};
 use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::scheduler::Scheduler;
@@ -60,7 +60,7 @@
     /// The leaderships that this VM takes once it has a lease.
     asked: BTreeSet<Service>,
     /// Calls in progress, with the time at which each was sent.
-    calls: BTreeMap<OpId, (Purpose, Instant)>,
+    calls: BTreeMap<KvOperationId, (Purpose, Instant)>,
     /// This VM's candidacies for free leaderships.
     pub(crate) candidacies: BTreeMap<Service, Candidacy>,
     /// Until when other VMs that start beside this one may still write their entries.
@@ -143,7 +143,7 @@
     /// A call on the lease or a leadership came back.
     pub(crate) fn handle_leadership_outcome(
         &mut self,
-        op: OpId,
+        op: KvOperationId,
         outcome: KvOutcome,
         out: &mut Effects,
     ) {
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -11,7 +11,7 @@
 
 use crate::cluster::lease::{Kept, Terms};
 use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, proposed_change};
-use crate::effect::{Effects, KvOperation, OpId};
+use crate::effect::{Effects, KvOperation, KvOperationId};
 use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::timer::Timer;
@@ -50,12 +50,12 @@
     /// The revision at which the entry was written under it.
     written: Option<Revision>,
     /// Calls in progress, with the time at which each was sent.
-    calls: BTreeMap<OpId, (Purpose, Instant)>,
+    calls: BTreeMap<KvOperationId, (Purpose, Instant)>,
 }
 
 impl State {
     /// Whether a call is one on the entry.
-    pub(crate) fn owns(&self, op: OpId) -> bool {
+    pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.calls.contains_key(&op)
     }
 
@@ -108,7 +108,7 @@
     /// A call on the entry came back.
     pub(crate) fn handle_registration_outcome(
         &mut self,
-        op: OpId,
+        op: KvOperationId,
         outcome: KvOutcome,
         out: &mut Effects,
     ) {
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -16,7 +16,7 @@
 use crate::cluster::exclusion;
 use crate::cluster::membership;
 use crate::cluster::snapshot::{Delivery, Revision};
-use crate::effect::{Effect, Effects, KvOperation, Locality, OpId};
+use crate::effect::{Effect, Effects, KvOperation, KvOperationId, Locality};
 use crate::event::KvOutcome;
 use crate::message::Message;
 use crate::node::Gateway;
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// The call in progress.
-    pub(crate) op: Option<OpId>,
+    pub(crate) op: Option<KvOperationId>,
     /// The revision up to which all changes are known; none before a list.
     pub(crate) cursor: Option<Revision>,
     /// When it last answered this VM, or another one that told.
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -13,7 +13,7 @@
 use crate::message::Message;
 
 /// The number of a call of the key-value service.
-pub type OpId = u64;
+pub type KvOperationId = u64;
 
 /// The number of an order.
 pub type OrderId = u64;
@@ -155,7 +155,7 @@
     /// Tells a request's task what to do.
     Request(RequestId, NextStep),
     /// Calls the key-value service.
-    KvCall(OpId, KvOperation),
+    KvCall(KvOperationId, KvOperation),
     /// Orders something of a server.
     Order(OrderId, Server, SocketAddr, Order),
     /// Asks a server for its report.
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -10,7 +10,7 @@
 use crate::account::Tokens;
 use crate::account::key::Key;
 use crate::cluster::snapshot::{Change, ResidentModel, Revision};
-use crate::effect::{OpId, OrderId};
+use crate::effect::{KvOperationId, OrderId};
 use crate::message::Message;
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Notice;
@@ -206,7 +206,7 @@
     /// A server was asked whether it takes connections.
     Probed(Server, ProbeResult),
     /// A call of the key-value service came back.
-    KvAnswered(OpId, KvOutcome),
+    KvAnswered(KvOperationId, KvOutcome),
     /// A message from another VM.
     PeerMessage(Vm, Message),
     /// A link to another VM could not be made or broke.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -21,7 +21,7 @@
 use crate::cluster::watch;
 use crate::config::startup_queue;
 use crate::config::{Config, Index, Limits};
-use crate::effect::{Effect, Effects, KvOperation, Locality, OpId};
+use crate::effect::{Effect, Effects, KvOperation, KvOperationId, Locality};
 use crate::event::{Event, RequestId};
 use crate::feature::Feature;
 use crate::measure;
@@ -255,7 +255,7 @@
         }
     }
 
-    pub(crate) fn store(&mut self, op: KvOperation, out: &mut Effects) -> OpId {
+    pub(crate) fn store(&mut self, op: KvOperation, out: &mut Effects) -> KvOperationId {
         measure::plain(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
         out.push(Effect::KvCall(id, op));
@@ -299,7 +299,7 @@
         self.handle_registration_timer(out);
     }
 
-    fn answered(&mut self, op: OpId, outcome: crate::event::KvOutcome, out: &mut Effects) {
+    fn answered(&mut self, op: KvOperationId, outcome: crate::event::KvOutcome, out: &mut Effects) {
         if self.watch.op == Some(op) {
             self.handle_watch_outcome(outcome, out);
         } else if self.registration.owns(op) {
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -31,7 +31,7 @@
 use self::strikes::{Count, Tally};
 use self::suspects::Suspect;
 use crate::cluster::membership;
-use crate::effect::{Effect, Effects, OpId};
+use crate::effect::{Effect, Effects, KvOperationId};
 use crate::event::{ProbeResult, RequestId};
 use crate::message::Message;
 use crate::node::Gateway;
@@ -105,7 +105,7 @@
     }
 
     /// Whether a call of the key-value service is one on records.
-    pub(crate) fn owns(&self, op: OpId) -> bool {
+    pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.records.owns(op)
     }
 
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -8,7 +8,7 @@
 use super::QUARANTINE_DURATION;
 use crate::cluster::lease::backoff;
 use crate::cluster::snapshot::{Delivery, EntryKey, EntryValue, Revision, proposed_change};
-use crate::effect::{Effects, KvOperation, OpId};
+use crate::effect::{Effects, KvOperation, KvOperationId};
 use crate::event::{KvOutcome, Lease};
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
@@ -55,7 +55,7 @@
     /// The lease, with when it was granted.
     lease: Option<(Lease, Instant)>,
     /// The call in progress.
-    call: Option<(OpId, Purpose)>,
+    call: Option<(KvOperationId, Purpose)>,
     /// Calls in a row that failed.
     failures: u32,
     /// Until when none is made after one that failed.
@@ -64,7 +64,7 @@
 
 impl State {
     /// Whether a call is one on records.
-    pub(crate) fn owns(&self, op: OpId) -> bool {
+    pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.call.is_some_and(|(id, _)| id == op)
     }
 
