--- a/crates/gateway/src/cluster/lease.rs
+++ b/crates/gateway/src/cluster/lease.rs
@@ -33,7 +33,7 @@
     /// The call, for a lease that lives so long.
     pub(crate) fn op(self, ttl: Span) -> KvOperation {
         match self {
-            Self::Grant => KvOperation::Grant(ttl),
+            Self::Grant => KvOperation::GrantLease(ttl),
             Self::Renew(lease) => KvOperation::Renew(lease),
         }
     }
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -102,7 +102,7 @@
     /// Wait for changes after a revision.
     Watch(Revision, Span),
     /// Grant a lease.
-    Grant(Span),
+    GrantLease(Span),
     /// Renew a lease.
     Renew(Lease),
     /// End a lease.
@@ -120,7 +120,7 @@
         match self {
             Self::List => "list",
             Self::Watch(..) => "watch",
-            Self::Grant(_) => "lease_grant",
+            Self::GrantLease(_) => "lease_grant",
             Self::Renew(_) => "lease_renew",
             Self::End(_) => "lease_end",
             Self::Put(..) => "put",
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -173,7 +173,9 @@
                 let change = proposed_change(subject.clone(), EntryValue::Quarantine);
                 (purpose, KvOperation::Put(change, lease, vec![(subject, 0)]))
             }
-            (Goal::Present, _, None) => (Purpose::Lease, KvOperation::Grant(QUARANTINE_DURATION)),
+            (Goal::Present, _, None) => {
+                (Purpose::Lease, KvOperation::GrantLease(QUARANTINE_DURATION))
+            }
         };
         let id = self.store(op, out);
         self.quarantine.records.call = Some((id, purpose));
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -141,7 +141,7 @@
                 });
                 None
             }
-            KvOperation::Grant(ttl) => {
+            KvOperation::GrantLease(ttl) => {
                 self.revision += 1;
                 self.leases.insert(self.revision, (ttl, now + ttl));
                 Some(KvOutcome::Granted(self.revision, ttl))
