--- a/crates/gateway/src/cluster/lease.rs
+++ b/crates/gateway/src/cluster/lease.rs
@@ -34,7 +34,7 @@
     pub(crate) fn op(self, ttl: Span) -> KvOperation {
         match self {
             Self::Grant => KvOperation::GrantLease(ttl),
-            Self::Renew(lease) => KvOperation::Renew(lease),
+            Self::Renew(lease) => KvOperation::RenewLease(lease),
         }
     }
 }
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -104,7 +104,7 @@
     /// Grant a lease.
     GrantLease(Span),
     /// Renew a lease.
-    Renew(Lease),
+    RenewLease(Lease),
     /// End a lease.
     End(Lease),
     /// Write a fact under a lease, if each of these subjects is still as of a revision (0: not there).
@@ -121,7 +121,7 @@
             Self::List => "list",
             Self::Watch(..) => "watch",
             Self::GrantLease(_) => "lease_grant",
-            Self::Renew(_) => "lease_renew",
+            Self::RenewLease(_) => "lease_renew",
             Self::End(_) => "lease_end",
             Self::Put(..) => "put",
             Self::Remove(..) => "remove",
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -146,7 +146,7 @@
                 self.leases.insert(self.revision, (ttl, now + ttl));
                 Some(KvOutcome::Granted(self.revision, ttl))
             }
-            KvOperation::Renew(lease) => Some(match self.leases.get_mut(&lease) {
+            KvOperation::RenewLease(lease) => Some(match self.leases.get_mut(&lease) {
                 Some((ttl, end)) => {
                     *end = now + *ttl;
                     KvOutcome::Renewed(*ttl)
