--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -173,7 +173,7 @@
     pub(crate) fn deregister(&mut self, out: &mut Effects) {
         if let Some(lease) = self.registration.lease.id() {
             self.registration.lease.drop_it();
-            self.registration_call(Purpose::End, KvOperation::End(lease), out);
+            self.registration_call(Purpose::End, KvOperation::RevokeLease(lease), out);
         }
     }
 
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -106,7 +106,7 @@
     /// Renew a lease.
     RenewLease(Lease),
     /// End a lease.
-    End(Lease),
+    RevokeLease(Lease),
     /// Write a fact under a lease, if each of these subjects is still as of a revision (0: not there).
     Put(Change, Lease, Vec<(EntryKey, Revision)>),
     /// Remove a subject that is still as of a revision.
@@ -122,7 +122,7 @@
             Self::Watch(..) => "watch",
             Self::GrantLease(_) => "lease_grant",
             Self::RenewLease(_) => "lease_renew",
-            Self::End(_) => "lease_end",
+            Self::RevokeLease(_) => "lease_end",
             Self::Put(..) => "put",
             Self::Remove(..) => "remove",
         }
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -153,7 +153,7 @@
                 }
                 None => KvOutcome::NoLease,
             }),
-            KvOperation::End(lease) => {
+            KvOperation::RevokeLease(lease) => {
                 self.end(lease);
                 Some(KvOutcome::NoLease)
             }
