--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -91,7 +91,7 @@
     /// The fencing number.
     pub fence: u64,
     /// How long its answer is waited for.
-    pub patience: Span,
+    pub answer_timeout: Span,
 }
 
 /// A call of the key-value service.
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -125,12 +125,12 @@
             };
             engine.take_one(now);
             self.last_order += 1;
-            let patience = self
+            let answer_timeout = self
                 .settings
                 .tuning
                 .order_timeout
                 .times(1_u64 << engine.tries);
-            let order = order(&self.keys, &intent, engine.orders, fence, patience);
+            let order = order(&self.keys, &intent, engine.orders, fence, answer_timeout);
             engine.last_order = now;
             engine.pending = Some(Pending {
                 id: self.last_order,
@@ -208,7 +208,7 @@
     }
 }
 
-fn order(keys: &Keys, intent: &Intent, expected: u64, fence: u64, patience: Span) -> Order {
+fn order(keys: &Keys, intent: &Intent, expected: u64, fence: u64, answer_timeout: Span) -> Order {
     let (load, model, adapter, version) = match intent {
         Intent::Load(key, version) => {
             let name = keys.name(*key);
@@ -227,7 +227,7 @@
         version,
         expected,
         fence,
-        patience,
+        answer_timeout,
     }
 }
 
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -151,10 +151,10 @@
         if let (Some(store), Some(adapter), true) = (&mut self.store, order.adapter, order.load) {
             store.load(self.now, server, adapter);
         }
-        match order.patience < self.late {
+        match order.answer_timeout < self.late {
             true => {
                 self.unheard += 1;
-                let given_up = self.now + order.patience;
+                let given_up = self.now + order.answer_timeout;
                 self.answers.push((given_up, id, OrderOutcome::Unknown));
             }
             false if self.late > Span::ZERO => {
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -435,7 +435,7 @@
         let late = self.rng.random_range(0.0..1.0) < self.late_orders;
         if late || !self.hosts[vm].net {
             self.at(
-                now + order.patience,
+                now + order.answer_timeout,
                 Act::Event(vm, start, Event::OrderAnswered(id, OrderOutcome::Unknown)),
             );
             if late {
