--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -65,7 +65,7 @@
     /// The longest pause between two events of a stream that is still in time; zero where none is told.
     pub pause: Span,
     /// How long callers wait for the first event of a stream; the timeout for other kinds.
-    pub patience: Span,
+    pub caller_timeout: Span,
     /// The rank, 0 first.
     pub priority: u8,
     /// Whether its requests need no key.
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -56,7 +56,7 @@
     /// Its path.
     pub path: String,
     /// How long the caller waits.
-    pub patience: Option<Span>,
+    pub caller_timeout: Option<Span>,
     /// What it asks an engine for; none for a plain service.
     pub work: Option<InferenceSpec>,
     /// The key that it bears; none where it bears none, several, or one that can't be any.
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -96,7 +96,10 @@
     ) -> Self {
         let cost = account.as_ref().map(|account| account.cost(call.tokens));
         let priority = account.as_ref().and_then(|account| account.priority);
-        let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
+        let patience = call
+            .caller_timeout
+            .unwrap_or(route.timeout)
+            .min(route.timeout);
         Self {
             call,
             account,
@@ -129,7 +132,10 @@
             work: self.call.work.clone()?,
             waited: now.since(self.arrived),
             objective: self.route.objective,
-            left: self.ends.min(self.arrived + self.route.patience).since(now),
+            left: self
+                .ends
+                .min(self.arrived + self.route.caller_timeout)
+                .since(now),
             priority: self.priority,
             zone: zone.clone(),
             failed: self.failed.clone(),
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -90,7 +90,7 @@
         timeout: Span::from_millis(timeout),
         objective: Span::from_millis(1_000),
         pause: Span::from_millis(400),
-        patience: Span::from_millis(if kind.stream() { 4_000 } else { timeout }),
+        caller_timeout: Span::from_millis(if kind.stream() { 4_000 } else { timeout }),
         priority,
         public: false,
         attempts,
@@ -157,7 +157,7 @@
         id: id.into(),
         host: "host.example".to_owned(),
         path: path.to_owned(),
-        patience: Some(Span::from_millis(patience)),
+        caller_timeout: Some(Span::from_millis(patience)),
         key: None,
         tokens: work
             .as_ref()
