--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -63,7 +63,7 @@
     /// A number of tokens, or of requests where an account counts those.
     Tokens;
     /// Tokens a second.
-    Rate;
+    TokenRate;
 }
 
 /// What a request counts as.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limit {
     /// Without end.
-    pub rate: Rate,
+    pub rate: TokenRate,
     /// Besides, at once.
     pub burst: Tokens,
 }
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::Tenant;
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::account::key::Key;
-use dahliastile_gateway::account::{Account, Limit, Rate, Tokens, Unit};
+use dahliastile_gateway::account::{Account, Limit, TokenRate, Tokens, Unit};
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::settings::Tuning;
@@ -41,7 +41,7 @@
 /// An account with these keys and a limit in tokens a second, as much being allowed at once; 0 for no limit.
 pub fn account(name: &str, keys: &[&str], rate: u64) -> Arc<Account> {
     let limit = Limit {
-        rate: Rate(rate),
+        rate: TokenRate(rate),
         burst: Tokens(rate),
     };
     Arc::new(Account {
@@ -72,7 +72,7 @@
 
 /// What a window may see of an account with a limit.
 pub fn allowed(rate: u64) -> f64 {
-    let rate = Rate(rate).as_f64();
+    let rate = TokenRate(rate).as_f64();
     (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVERAGE) + SLACK
 }
 
