--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -77,7 +77,7 @@
 
 /// How much an account may use over all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limit {
+pub struct TokenLimit {
     /// Without end.
     pub rate: TokenRate,
     /// Besides, at once.
@@ -96,7 +96,7 @@
     /// What its requests count as.
     pub unit: Unit,
     /// How much it may use; none for any amount.
-    pub limit: Option<Limit>,
+    pub limit: Option<TokenLimit>,
 }
 
 impl Account {
--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -23,7 +23,7 @@
 
 use self::bucket::{Bucket, Terms};
 use self::pool::Pools;
-use super::{Limit, Tokens};
+use super::{TokenLimit, Tokens};
 use crate::cluster::exclusion;
 use crate::effect::Effects;
 use crate::event::RequestId;
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 struct Share {
     /// The account's limit.
-    limit: Limit,
+    limit: TokenLimit,
     /// The tokens.
     bucket: Bucket,
     /// Requests that wait for tokens, by the numbers of their draws.
@@ -141,7 +141,7 @@
 }
 
 impl Allowance {
-    fn new(limit: Limit, tuning: &Tuning) -> Self {
+    fn new(limit: TokenLimit, tuning: &Tuning) -> Self {
         let seconds = tuning.quota_window.as_secs_f64();
         let burst = limit.burst.as_f64();
         let window = limit.rate.as_f64() * seconds + burst;
@@ -184,7 +184,7 @@
 
     /// The configuration has changed: accounts that are new have an empty share, others keep what still fits.
     pub(crate) fn limits_changed(&mut self, out: &mut Effects) {
-        let limits: BTreeMap<Tenant, Limit> = self.limits_by_account().collect();
+        let limits: BTreeMap<Tenant, TokenLimit> = self.limits_by_account().collect();
         let mut shares = std::mem::take(&mut self.quota.shares);
         for (account, limit) in &limits {
             let (before, after) = (shares.remove(account), self.share_terms(*limit));
@@ -210,7 +210,7 @@
         }
     }
 
-    fn limits_by_account(&self) -> impl Iterator<Item = (Tenant, Limit)> {
+    fn limits_by_account(&self) -> impl Iterator<Item = (Tenant, TokenLimit)> {
         let accounts = self.config.iter().flat_map(|c| c.accounts.iter().flatten());
         accounts.filter_map(|account| Some((account.name.clone(), account.limit?)))
     }
@@ -229,7 +229,7 @@
     }
 
     /// This VM's part of a limit.
-    fn share_terms(&mut self, limit: Limit) -> Terms {
+    fn share_terms(&mut self, limit: TokenLimit) -> Terms {
         let vms = self.fleet();
         let terms = Allowance::new(limit, &self.settings.tuning).share(vms);
         let settled = self.quota.returned || self.now.since(self.quota.started) >= SETTLED;
@@ -266,7 +266,7 @@
 }
 
 impl Share {
-    fn new(limit: Limit, now: Instant) -> Self {
+    fn new(limit: TokenLimit, now: Instant) -> Self {
         Self {
             limit,
             bucket: Bucket::new(now),
--- a/crates/gateway/src/account/quota/keeper.rs
+++ b/crates/gateway/src/account/quota/keeper.rs
@@ -7,7 +7,7 @@
 
 use super::pool::Answer;
 use super::{Allowance, TokenRequest};
-use crate::account::{Limit, Tokens};
+use crate::account::{TokenLimit, Tokens};
 use crate::effect::Effects;
 use crate::message::Message;
 use crate::node::Gateway;
@@ -92,7 +92,7 @@
             return;
         };
         share.told = now;
-        let Limit { rate, burst } = share.limit;
+        let TokenLimit { rate, burst } = share.limit;
         let detail = format!("account={account} rate={rate} burst={burst} vm={vm} after={after}");
         Self::log(out, Code::LimitReached, detail);
     }
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::Tenant;
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::account::key::Key;
-use dahliastile_gateway::account::{Account, Limit, TokenRate, Tokens, Unit};
+use dahliastile_gateway::account::{Account, TokenLimit, TokenRate, Tokens, Unit};
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::settings::Tuning;
@@ -40,7 +40,7 @@
 
 /// An account with these keys and a limit in tokens a second, as much being allowed at once; 0 for no limit.
 pub fn account(name: &str, keys: &[&str], rate: u64) -> Arc<Account> {
-    let limit = Limit {
+    let limit = TokenLimit {
         rate: TokenRate(rate),
         burst: Tokens(rate),
     };
