--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -14,7 +14,7 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use self::key::Key;
+use self::key::AccountKey;
 use crate::config::{Config, Route};
 use crate::effect::{Effects, RefusalReason};
 use crate::event::{CallerRequest, RequestId};
@@ -90,7 +90,7 @@
     /// Its name.
     pub name: Tenant,
     /// The keys that its callers bear.
-    pub keys: Vec<Key>,
+    pub keys: Vec<AccountKey>,
     /// The rank of its requests, 0 first; none where that of the route counts.
     pub priority: Option<u8>,
     /// What its requests count as.
@@ -116,7 +116,7 @@
     /// Whether requests need a key at all.
     required: bool,
     /// The accounts by key.
-    by_key: FxHashMap<Key, Arc<Account>>,
+    by_key: FxHashMap<AccountKey, Arc<Account>>,
 }
 
 impl Table {
@@ -133,7 +133,7 @@
 
     /// The account that holds a key.
     #[must_use]
-    pub fn find(&self, key: &Key) -> Option<&Arc<Account>> {
+    pub fn find(&self, key: &AccountKey) -> Option<&Arc<Account>> {
         self.by_key.get(key)
     }
 }
--- a/crates/gateway/src/account/key.rs
+++ b/crates/gateway/src/account/key.rs
@@ -13,9 +13,9 @@
 
 /// A caller's key. Only its digest is kept, so that whatever holds one can neither print the key nor pass it on.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-pub struct Key([u8; 32]);
+pub struct AccountKey([u8; 32]);
 
-impl Key {
+impl AccountKey {
     /// The key that these bytes are; none where they can't be one.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Option<Self> {
@@ -26,22 +26,22 @@
 }
 
 /// In constant time.
-impl PartialEq for Key {
+impl PartialEq for AccountKey {
     fn eq(&self, other: &Self) -> bool {
         blake3::Hash::from_bytes(self.0) == blake3::Hash::from_bytes(other.0)
     }
 }
 
-impl Eq for Key {}
+impl Eq for AccountKey {}
 
-impl Hash for Key {
+impl Hash for AccountKey {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.hash(state);
     }
 }
 
 /// The beginning of the digest, enough to tell keys apart in a log.
-impl fmt::Display for Key {
+impl fmt::Display for AccountKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for byte in &self.0[..4] {
             write!(f, "{byte:02x}")?;
@@ -50,7 +50,7 @@
     }
 }
 
-impl fmt::Debug for Key {
+impl fmt::Debug for AccountKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Key({self})")
     }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::account::Tokens;
-use crate::account::key::Key;
+use crate::account::key::AccountKey;
 use crate::cluster::snapshot::{Change, ResidentModel, Revision};
 use crate::effect::{KvOperationId, OrderId};
 use crate::message::Message;
@@ -60,7 +60,7 @@
     /// What it asks an engine for; none for a plain service.
     pub work: Option<InferenceSpec>,
     /// The key that it bears; none where it bears none, several, or one that can't be any.
-    pub key: Option<Key>,
+    pub key: Option<AccountKey>,
     /// The tokens that it names.
     pub tokens: Option<Tokens>,
     /// What it has in common with others that ask the same.
--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -6,7 +6,7 @@
 
 use dahliastile_core::time::Span;
 use dahliastile_gateway::account::Account;
-use dahliastile_gateway::account::key::{Key, LONGEST};
+use dahliastile_gateway::account::key::{AccountKey, LONGEST};
 use dahliastile_gateway::config::{Config, Route};
 use dahliastile_gateway::effect::RefusalReason;
 use dahliastile_gateway::event::CallerRequest;
@@ -219,9 +219,9 @@
 #[test]
 fn key_malformedisnone() {
     for bytes in [&b""[..], b"a b", b"\xff", b"a\n", &[b'k'; LONGEST + 1]] {
-        assert_eq!(Key::of(bytes), None, "{bytes:?}");
+        assert_eq!(AccountKey::of(bytes), None, "{bytes:?}");
     }
-    assert!(Key::of(&[b'k'; LONGEST]).is_some());
+    assert!(AccountKey::of(&[b'k'; LONGEST]).is_some());
 }
 
 /// No text of a key, of a configuration, of a request or of a log line holds the key's own text, whatever happens to the fleet.
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -5,7 +5,7 @@
 
 use dahliastile_core::id::Tenant;
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::account::key::Key;
+use dahliastile_gateway::account::key::AccountKey;
 use dahliastile_gateway::account::{Account, TokenLimit, TokenRate, Tokens, Unit};
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::event::CallerRequest;
@@ -34,8 +34,8 @@
 }
 
 /// A key by its text.
-pub fn key(text: &str) -> Key {
-    Key::of(text.as_bytes()).expect("a key")
+pub fn key(text: &str) -> AccountKey {
+    AccountKey::of(text.as_bytes()).expect("a key")
 }
 
 /// An account with these keys and a limit in tokens a second, as much being allowed at once; 0 for no limit.
