--- a/crates/gateway/src/account/key.rs
+++ b/crates/gateway/src/account/key.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest key in bytes.
-pub const LONGEST: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// What separates digests of keys from other digests of the same bytes.
 const CONTEXT: &str = "dahliastile client account key";
@@ -19,7 +19,7 @@
     /// The key that these bytes are; none where they can't be one.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Option<Self> {
-        let fits = (1..=LONGEST).contains(&bytes.len());
+        let fits = (1..=MAX_KEY_BYTES).contains(&bytes.len());
         let printable = bytes.iter().all(u8::is_ascii_graphic);
         (fits && printable).then(|| Self(blake3::derive_key(CONTEXT, bytes)))
     }
--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -6,7 +6,7 @@
 
 use dahliastile_core::time::Span;
 use dahliastile_gateway::account::Account;
-use dahliastile_gateway::account::key::{AccountKey, LONGEST};
+use dahliastile_gateway::account::key::{AccountKey, MAX_KEY_BYTES};
 use dahliastile_gateway::config::{Config, Route};
 use dahliastile_gateway::effect::RefusalReason;
 use dahliastile_gateway::event::CallerRequest;
@@ -218,10 +218,16 @@
 /// What can't be a key is none.
 #[test]
 fn key_malformedisnone() {
-    for bytes in [&b""[..], b"a b", b"\xff", b"a\n", &[b'k'; LONGEST + 1]] {
+    for bytes in [
+        &b""[..],
+        b"a b",
+        b"\xff",
+        b"a\n",
+        &[b'k'; MAX_KEY_BYTES + 1],
+    ] {
         assert_eq!(AccountKey::of(bytes), None, "{bytes:?}");
     }
-    assert!(AccountKey::of(&[b'k'; LONGEST]).is_some());
+    assert!(AccountKey::of(&[b'k'; MAX_KEY_BYTES]).is_some());
 }
 
 /// No text of a key, of a configuration, of a request or of a log line holds the key's own text, whatever happens to the fleet.
