--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -16,7 +16,7 @@
 use dahliastile_core::id::{Incarnation, Server, Vm};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Backend, ResidentModel};
-use dahliastile_gateway::config::{Application, Engine, Model};
+use dahliastile_gateway::config::{Engine, Model, ServiceConfig};
 use dahliastile_gateway::event::{InferenceSpec, OrderOutcome, Report, RequestId};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::{PlacementRequest, Progress};
@@ -88,8 +88,8 @@
     }
 }
 
-fn application() -> Application {
-    Application {
+fn application() -> ServiceConfig {
+    ServiceConfig {
         name: "drafts".parse().unwrap(),
         engine: Some(Engine {
             batch: 64,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -108,7 +108,7 @@
 
 /// A service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Application {
+pub struct ServiceConfig {
     /// Its name.
     pub name: Service,
     /// What its engines hold; none for a plain service.
@@ -148,7 +148,7 @@
     /// The routes.
     pub routes: Vec<Arc<Route>>,
     /// The services.
-    pub services: Vec<Arc<Application>>,
+    pub services: Vec<Arc<ServiceConfig>>,
     /// What callers may send.
     pub limits: Limits,
     /// The client accounts; none where requests need no key.
@@ -161,7 +161,7 @@
     /// The routes of each host, longest prefix first.
     hosts: FxHashMap<String, Vec<Arc<Route>>>,
     /// The services by name.
-    services: FxHashMap<Service, Arc<Application>>,
+    services: FxHashMap<Service, Arc<ServiceConfig>>,
     /// The client accounts by key.
     accounts: Table,
 }
@@ -205,12 +205,12 @@
 
     /// A service by its name.
     #[must_use]
-    pub fn service(&self, name: &str) -> Option<&Arc<Application>> {
+    pub fn service(&self, name: &str) -> Option<&Arc<ServiceConfig>> {
         self.services.get(name)
     }
 
     /// The services that have engines.
-    pub fn engines(&self) -> impl Iterator<Item = &Arc<Application>> {
+    pub fn engines(&self) -> impl Iterator<Item = &Arc<ServiceConfig>> {
         self.services.values().filter(|s| s.engine.is_some())
     }
 }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -35,7 +35,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::snapshot::{Backend, Version};
-use crate::config::{Application, Engine as Shape};
+use crate::config::{Engine as Shape, ServiceConfig};
 use crate::effect::{Order, OrderId};
 use crate::event::{InferenceSpec, OrderOutcome, Report, RequestId};
 use crate::feature::Feature;
@@ -139,7 +139,7 @@
 impl Scheduler {
     /// A scheduler that knows no engine yet.
     #[must_use]
-    pub fn new(now: Instant, application: &Application, fence: u64, settings: Settings) -> Self {
+    pub fn new(now: Instant, application: &ServiceConfig, fence: u64, settings: Settings) -> Self {
         let shape = application.engine.clone().unwrap_or_else(|| Shape {
             batch: 1,
             tokens: 0,
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -8,7 +8,7 @@
 use dahliastile_gateway::account::Tokens;
 use dahliastile_gateway::cluster::snapshot::{Backend, Resident, ResidentModel};
 use dahliastile_gateway::config::{
-    Application, Config, Engine, Kind, Limits, Model, Route, Target,
+    Config, Engine, Kind, Limits, Model, Route, ServiceConfig, Target,
 };
 use dahliastile_gateway::event::{CallerRequest, InferenceSpec, Report};
 use dahliastile_gateway::feature::Without;
@@ -113,11 +113,11 @@
             route("/query/", Kind::Safe, PLAIN, 2_000, 2, 2),
         ],
         services: vec![
-            Arc::new(Application {
+            Arc::new(ServiceConfig {
                 name: name(ENGINES),
                 engine: Some(engine_config()),
             }),
-            Arc::new(Application {
+            Arc::new(ServiceConfig {
                 name: name(PLAIN),
                 engine: None,
             }),
