--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -16,7 +16,7 @@
 use dahliastile_core::id::{Incarnation, Server, Vm};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::cluster::snapshot::{Backend, ResidentModel};
-use dahliastile_gateway::config::{Engine, Model, ServiceConfig};
+use dahliastile_gateway::config::{EngineSpec, Model, ServiceConfig};
 use dahliastile_gateway::event::{InferenceSpec, OrderOutcome, Report, RequestId};
 use dahliastile_gateway::feature::Without;
 use dahliastile_gateway::message::{PlacementRequest, Progress};
@@ -91,7 +91,7 @@
 fn application() -> ServiceConfig {
     ServiceConfig {
         name: "drafts".parse().unwrap(),
-        engine: Some(Engine {
+        engine: Some(EngineSpec {
             batch: 64,
             tokens: 120_000,
             memory_mb: 66_000.0,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -91,7 +91,7 @@
 
 /// What the engines of a service hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Engine {
+pub struct EngineSpec {
     /// Requests in one batch.
     pub batch: u32,
     /// Tokens that the memory holds.
@@ -112,7 +112,7 @@
     /// Its name.
     pub name: Service,
     /// What its engines hold; none for a plain service.
-    pub engine: Option<Engine>,
+    pub engine: Option<EngineSpec>,
 }
 
 /// What a caller may send.
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -8,7 +8,7 @@
 use dahliastile_gateway::account::Tokens;
 use dahliastile_gateway::cluster::snapshot::{Backend, Resident, ResidentModel};
 use dahliastile_gateway::config::{
-    Config, Engine, Kind, Limits, Model, Route, ServiceConfig, Target,
+    Config, EngineSpec, Kind, Limits, Model, Route, ServiceConfig, Target,
 };
 use dahliastile_gateway::event::{CallerRequest, InferenceSpec, Report};
 use dahliastile_gateway::feature::Without;
@@ -57,8 +57,8 @@
 }
 
 /// The shape of the engines: the first deployment's places, with a small model.
-pub fn engine_config() -> Engine {
-    Engine {
+pub fn engine_config() -> EngineSpec {
+    EngineSpec {
         batch: 64,
         tokens: 120_000,
         memory_mb: 66_500.0,
