--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -35,7 +35,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::snapshot::{Backend, Version};
-use crate::config::{Engine as Shape, ServiceConfig};
+use crate::config::{EngineSpec, ServiceConfig};
 use crate::effect::{Order, OrderId};
 use crate::event::{InferenceSpec, OrderOutcome, Report, RequestId};
 use crate::feature::Feature;
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub struct Scheduler {
     /// What its engines hold.
-    pub(crate) shape: Shape,
+    pub(crate) shape: EngineSpec,
     /// When it began.
     started_at: Instant,
     /// The fencing number of its orders.
@@ -140,7 +140,7 @@
     /// A scheduler that knows no engine yet.
     #[must_use]
     pub fn new(now: Instant, application: &ServiceConfig, fence: u64, settings: Settings) -> Self {
-        let shape = application.engine.clone().unwrap_or_else(|| Shape {
+        let shape = application.engine.clone().unwrap_or_else(|| EngineSpec {
             batch: 1,
             tokens: 0,
             memory_mb: 0.0,
