--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -13,7 +13,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run any number of times.
     Safe,
     /// Runs at most once.
@@ -24,7 +24,7 @@
     Resumable,
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request that may have run can be sent again.
     #[must_use]
     pub const fn idempotent(self) -> bool {
@@ -57,7 +57,7 @@
     /// The path prefix, with a slash at both ends.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time that a request is kept waiting.
     pub timeout: Span,
     /// The time within which an answer (its first event) is of full use.
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -15,7 +15,7 @@
 
 use crate::account::{Account, Tokens};
 use crate::cluster::snapshot::Version;
-use crate::config::{Kind, Route, Target};
+use crate::config::{Route, RouteKind, Target};
 use crate::effect::{Attempt, Effect, Effects, NextStep, RefusalReason};
 use crate::event::{CallerRequest, RequestId};
 use crate::measure;
@@ -272,7 +272,7 @@
             version,
             priority: state.priority,
             stream: state.route.kind.stream(),
-            resumable: state.route.kind == Kind::Resumable,
+            resumable: state.route.kind == RouteKind::Resumable,
         };
         let waited = self.now.since(state.arrived);
         let account = state.account.as_ref().map_or("-", |a| a.name.as_str());
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use super::Phase;
-use crate::config::Kind;
+use crate::config::RouteKind;
 use crate::effect::{Effect, Effects, NextStep, RefusalReason};
 use crate::event::{Execution, FailureCause, RequestId};
 use crate::measure;
@@ -123,7 +123,7 @@
         };
         let kind = state.route.kind;
         let may = ran == Execution::No || kind.idempotent() && state.ran < state.route.attempts;
-        let cut = begun && kind != Kind::Resumable && kind != Kind::Safe;
+        let cut = begun && kind != RouteKind::Resumable && kind != RouteKind::Safe;
         let in_time = state.ends.since(self.now) > TOO_LATE && state.sends < MAX_SENDS;
         let quarantined = self.quarantine.left(state.call.fingerprint, self.now);
         match cause {
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -8,7 +8,7 @@
 use dahliastile_gateway::account::Tokens;
 use dahliastile_gateway::cluster::snapshot::{Backend, Resident, ResidentModel};
 use dahliastile_gateway::config::{
-    Config, EngineSpec, Kind, Limits, Model, Route, ServiceConfig, Target,
+    Config, EngineSpec, Limits, Model, Route, RouteKind, ServiceConfig, Target,
 };
 use dahliastile_gateway::event::{CallerRequest, InferenceSpec, Report};
 use dahliastile_gateway::feature::Without;
@@ -76,7 +76,7 @@
 /// A route.
 pub fn route(
     prefix: &str,
-    kind: Kind,
+    kind: RouteKind,
     service: &str,
     timeout: u64,
     attempts: u32,
@@ -106,11 +106,11 @@
     Config {
         version,
         routes: vec![
-            route("/plan/", Kind::Stream, ENGINES, 5_000, 1, 1),
-            route("/brief/", Kind::Stream, ENGINES, 15_000, 1, 0),
-            route("/berth/", Kind::Resumable, ENGINES, 8_000, 2, 1),
-            route("/post/", Kind::Unsafe, PLAIN, 2_000, 1, 2),
-            route("/query/", Kind::Safe, PLAIN, 2_000, 2, 2),
+            route("/plan/", RouteKind::Stream, ENGINES, 5_000, 1, 1),
+            route("/brief/", RouteKind::Stream, ENGINES, 15_000, 1, 0),
+            route("/berth/", RouteKind::Resumable, ENGINES, 8_000, 2, 1),
+            route("/post/", RouteKind::Unsafe, PLAIN, 2_000, 1, 2),
+            route("/query/", RouteKind::Safe, PLAIN, 2_000, 2, 2),
         ],
         services: vec![
             Arc::new(ServiceConfig {
