--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -117,7 +117,7 @@
 
 /// What a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct HttpLimits {
     /// The longest head in bytes.
     pub head: usize,
     /// The longest body in bytes.
@@ -128,7 +128,7 @@
     pub idle_time: Span,
 }
 
-impl Default for Limits {
+impl Default for HttpLimits {
     /// What holds before the first configuration is known: the usual figures of HTTP servers.
     fn default() -> Self {
         Self {
@@ -150,7 +150,7 @@
     /// The services.
     pub services: Vec<Arc<ServiceConfig>>,
     /// What callers may send.
-    pub limits: Limits,
+    pub limits: HttpLimits,
     /// The client accounts; none where requests need no key.
     pub accounts: Option<Vec<Arc<Account>>>,
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -20,7 +20,7 @@
 use crate::cluster::snapshot::{Member, Snapshot};
 use crate::cluster::watch;
 use crate::config::startup_queue;
-use crate::config::{Config, Index, Limits};
+use crate::config::{Config, HttpLimits, Index};
 use crate::effect::{Effect, Effects, KvOperation, KvOperationId, Locality};
 use crate::event::{Event, RequestId};
 use crate::feature::Feature;
@@ -162,10 +162,10 @@
 
     /// What callers may send.
     #[must_use]
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> HttpLimits {
         self.config
             .as_ref()
-            .map_or_else(Limits::default, |c| c.limits)
+            .map_or_else(HttpLimits::default, |c| c.limits)
     }
 
     /// The version of the configuration in force, 0 where none is known.
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -8,7 +8,7 @@
 use dahliastile_gateway::account::Tokens;
 use dahliastile_gateway::cluster::snapshot::{Backend, Resident, ResidentModel};
 use dahliastile_gateway::config::{
-    Config, EngineSpec, Limits, Model, Route, RouteKind, ServiceConfig, Target,
+    Config, EngineSpec, HttpLimits, Model, Route, RouteKind, ServiceConfig, Target,
 };
 use dahliastile_gateway::event::{CallerRequest, InferenceSpec, Report};
 use dahliastile_gateway::feature::Without;
@@ -122,7 +122,7 @@
                 engine: None,
             }),
         ],
-        limits: Limits::default(),
+        limits: HttpLimits::default(),
         accounts: None,
     }
 }
