--- a/crates/shell/src/hub.rs
+++ b/crates/shell/src/hub.rs
@@ -50,7 +50,7 @@
         figures: PrometheusHandle,
         mailbox: flume::Sender<Event>,
     ) -> Rc<Self> {
-        let limits = dahliastile_gateway::config::Limits::default();
+        let limits = dahliastile_gateway::config::HttpLimits::default();
         Rc::new(Self {
             dialect,
             pool: Pool::default(),
