--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::cluster::snapshot::{Backend, Change, Delivery, EntryKey, EntryValue, Revision};
-use crate::config::{Config, Index};
+use crate::config::{Config, RouteIndex};
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
 use crate::request::load_balancer::ServerState;
@@ -167,7 +167,7 @@
         if config.version <= self.version() {
             return;
         }
-        self.index = Index::new(&config);
+        self.index = RouteIndex::new(&config);
         let (version, routes) = (config.version, config.routes.len());
         Self::log(
             out,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -157,7 +157,7 @@
 
 /// Finds a request's route: the first in the order of prefixes from the longest to the shortest that matches.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct RouteIndex {
     /// The routes of each host, longest prefix first.
     hosts: FxHashMap<String, Vec<Arc<Route>>>,
     /// The services by name.
@@ -166,7 +166,7 @@
     accounts: Table,
 }
 
-impl Index {
+impl RouteIndex {
     /// The index of a configuration.
     #[must_use]
     pub fn new(config: &Config) -> Self {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -20,7 +20,7 @@
 use crate::cluster::snapshot::{Member, Snapshot};
 use crate::cluster::watch;
 use crate::config::startup_queue;
-use crate::config::{Config, HttpLimits, Index};
+use crate::config::{Config, HttpLimits, RouteIndex};
 use crate::effect::{Effect, Effects, KvOperation, KvOperationId, Locality};
 use crate::event::{Event, RequestId};
 use crate::feature::Feature;
@@ -50,7 +50,7 @@
     /// The configuration in force.
     pub(crate) config: Option<Arc<Config>>,
     /// Its index.
-    pub(crate) index: Index,
+    pub(crate) index: RouteIndex,
     /// The other entry VMs.
     pub(crate) membership: Membership,
     /// The backend servers that take work, and what this VM knows of them.
@@ -100,7 +100,7 @@
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
             snapshot: Snapshot::default(),
             config: None,
-            index: Index::default(),
+            index: RouteIndex::default(),
             membership: Membership::default(),
             servers: BTreeMap::new(),
             notices: notice::ServerNotices::default(),
