--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::thread;
 
-use dahliastile_platform::{Feature, Without};
+use dahliastile_platform::{DisabledFeatures, Feature};
 use eyre::Context;
 use gumdrop::Options;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -131,7 +131,7 @@
 }
 
 /// Runs on the users' platform.
-fn platform(variable: &str, without: Without) -> ExitCode {
+fn platform(variable: &str, without: DisabledFeatures) -> ExitCode {
     let Ok(path) = std::env::var(variable) else {
         eprintln!("dahliastiled: {variable} does not name a settings file");
         return ExitCode::from(WRONG);
--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -18,7 +18,7 @@
 use dahliastile_gateway::cluster::snapshot::{Backend, ResidentModel};
 use dahliastile_gateway::config::{EngineSpec, Model, ServiceConfig};
 use dahliastile_gateway::event::{InferenceSpec, OrderOutcome, Report, RequestId};
-use dahliastile_gateway::feature::Without;
+use dahliastile_gateway::feature::DisabledFeatures;
 use dahliastile_gateway::message::{PlacementRequest, Progress};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
 use dahliastile_gateway::settings::{Settings, Tuning};
@@ -84,7 +84,7 @@
         seed: 1,
         seeds: Vec::new(),
         tuning: Tuning::default(),
-        without: Without::default(),
+        without: DisabledFeatures::default(),
     }
 }
 
--- a/crates/gateway/src/feature.rs
+++ b/crates/gateway/src/feature.rs
@@ -84,9 +84,9 @@
 
 /// The features that are switched off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Without(u32);
+pub struct DisabledFeatures(u32);
 
-impl Without {
+impl DisabledFeatures {
     /// Whether a feature is in use.
     #[must_use]
     pub const fn uses(self, feature: Feature) -> bool {
@@ -94,7 +94,7 @@
     }
 }
 
-impl FromIterator<Feature> for Without {
+impl FromIterator<Feature> for DisabledFeatures {
     fn from_iter<T: IntoIterator<Item = Feature>>(features: T) -> Self {
         let bits = features.into_iter().map(Feature::bit);
         Self(bits.fold(0, |all, bit| all | bit))
@@ -102,7 +102,7 @@
 }
 
 /// The names with commas between; `-` where none is switched off.
-impl fmt::Display for Without {
+impl fmt::Display for DisabledFeatures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let off = Feature::ALL
             .iter()
--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::cluster::snapshot::Backend;
-use crate::feature::{Feature, Without};
+use crate::feature::{DisabledFeatures, Feature};
 use crate::node::Gateway;
 use crate::request::health::Health;
 use crate::settings::Settings;
@@ -54,7 +54,7 @@
     }
 
     /// The cost of sending a request there, compared with other servers of its service.
-    fn cost(&self, zone: &Zone, now: Instant, without: Without) -> f64 {
+    fn cost(&self, zone: &Zone, now: Instant, without: DisabledFeatures) -> f64 {
         let slots = f64::from(self.backend.slots.max(1));
         let load = f64::from(self.open) / slots;
         let zones = without.uses(Feature::ZonePreference);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::{Incarnation, Vm, Zone};
 use dahliastile_core::time::Span;
 
-use crate::feature::{Feature, Without};
+use crate::feature::{DisabledFeatures, Feature};
 
 /// What one entry VM is told.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
     /// The figures.
     pub tuning: Tuning,
     /// The features that are switched off.
-    pub without: Without,
+    pub without: DisabledFeatures,
 }
 
 impl Settings {
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::feature::{Feature, Without};
+use dahliastile_gateway::feature::{DisabledFeatures, Feature};
 use dahliastile_gateway::settings::Tuning;
 use support::World;
 use support::setup::draft;
@@ -20,8 +20,8 @@
 
 #[test]
 fn without_namesthem() {
-    assert_eq!(Without::default().to_string(), "-");
-    let without: Without = [Feature::LeaseVotes, Feature::Copies].into_iter().collect();
+    assert_eq!(DisabledFeatures::default().to_string(), "-");
+    let without: DisabledFeatures = [Feature::LeaseVotes, Feature::Copies].into_iter().collect();
     assert_eq!(without.to_string(), "copies,pledges");
     assert!(!without.uses(Feature::Copies) && without.uses(Feature::Strength));
 }
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -8,7 +8,7 @@
 mod support;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::feature::{Feature, Without};
+use dahliastile_gateway::feature::{DisabledFeatures, Feature};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::World;
@@ -344,7 +344,7 @@
 /// Without the pool an equal split serves small accounts nothing: a share never holds the tokens of one request.
 #[test]
 fn split_alonestarvessmallaccounts() {
-    let without = Without::from_iter([Feature::TokenPool]);
+    let without = DisabledFeatures::from_iter([Feature::TokenPool]);
     let world = World::without(70, 0, 4, tuning(), without);
     let mut load = Load::among(world, 70, 2);
     load.run(Span::from_secs(8));
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -11,7 +11,7 @@
     Config, EngineSpec, HttpLimits, Model, Route, RouteKind, ServiceConfig, Target,
 };
 use dahliastile_gateway::event::{CallerRequest, InferenceSpec, Report};
-use dahliastile_gateway::feature::Without;
+use dahliastile_gateway::feature::DisabledFeatures;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use dahliastile_gateway::settings::{Settings, Tuning};
 
@@ -52,7 +52,7 @@
         seed: 7 + number as u64,
         seeds: Vec::new(),
         tuning: tuning.clone(),
-        without: Without::default(),
+        without: DisabledFeatures::default(),
     }
 }
 
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -15,7 +15,7 @@
 use dahliastile_gateway::config::Config;
 use dahliastile_gateway::effect::{Attempt, KvOperation, Order, RefusalReason};
 use dahliastile_gateway::event::{CallerRequest, Event};
-use dahliastile_gateway::feature::Without;
+use dahliastile_gateway::feature::DisabledFeatures;
 use dahliastile_gateway::message::Message;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use dahliastile_gateway::settings::Tuning;
@@ -180,7 +180,7 @@
     /// Calls of the key-value service that VMs made, whether or not it answers.
     pub tried: u64,
     tuning: Tuning,
-    without: Without,
+    without: DisabledFeatures,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     acts: BTreeMap<u64, Act>,
     seq: u64,
@@ -205,19 +205,32 @@
         engines: usize,
         plain: usize,
         tuning: Tuning,
-        without: Without,
+        without: DisabledFeatures,
     ) -> Self {
         Self::build(&vec![USUAL; vms], engines, plain, tuning, without)
     }
 
     /// The same with VMs of different strength.
     pub fn uneven(strengths: &[u32], engines: usize, plain: usize, tuning: Tuning) -> Self {
-        Self::build(strengths, engines, plain, tuning, Without::default())
+        Self::build(
+            strengths,
+            engines,
+            plain,
+            tuning,
+            DisabledFeatures::default(),
+        )
     }
 
     /// The same before the operator wrote a configuration.
     pub fn unconfigured(strengths: &[u32], engines: usize, plain: usize, tuning: Tuning) -> Self {
-        Self::started(strengths, engines, plain, tuning, Without::default(), None)
+        Self::started(
+            strengths,
+            engines,
+            plain,
+            tuning,
+            DisabledFeatures::default(),
+            None,
+        )
     }
 
     fn build(
@@ -225,7 +238,7 @@
         engines: usize,
         plain: usize,
         tuning: Tuning,
-        without: Without,
+        without: DisabledFeatures,
     ) -> Self {
         let config = Some(setup::config(1));
         Self::started(strengths, engines, plain, tuning, without, config)
@@ -236,7 +249,7 @@
         engines: usize,
         plain: usize,
         tuning: Tuning,
-        without: Without,
+        without: DisabledFeatures,
         config: Option<Config>,
     ) -> Self {
         let mut world = Self {
