--- a/crates/gateway/src/feature.rs
+++ b/crates/gateway/src/feature.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feature {
     /// Adapters come back to the engine beside which copies of them lie.
-    RecentAdapters,
+    CachedAdapters,
     /// A request waits for room at such an engine, though another one has room.
     RecentPatience,
     /// An engine that keeps parts of a prompt is preferred, and they don't count as work for it.
@@ -35,7 +35,7 @@
 impl Feature {
     /// All of them, with the names that operators write.
     pub const ALL: [(Self, &'static str); 11] = [
-        (Self::RecentAdapters, "recent-adapters"),
+        (Self::CachedAdapters, "recent-adapters"),
         (Self::RecentPatience, "recent-patience"),
         (Self::KeptParts, "kept-parts"),
         (Self::Copies, "copies"),
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -250,7 +250,7 @@
 
     /// Where an adapter lies beside an engine, how many others were held there since it was.
     pub(crate) fn lies_beside(&self, engine: &Engine, key: Key) -> Option<usize> {
-        let used = self.settings.uses(Feature::RecentAdapters);
+        let used = self.settings.uses(Feature::CachedAdapters);
         let depth = engine.recent.depth(key).filter(|_| used);
         depth.filter(|depth| self.beside.holds(*depth))
     }
