--- a/crates/gateway/src/feature.rs
+++ b/crates/gateway/src/feature.rs
@@ -11,7 +11,7 @@
     /// Adapters come back to the engine beside which copies of them lie.
     CachedAdapters,
     /// A request waits for room at such an engine, though another one has room.
-    RecentPatience,
+    CachedAdapterWait,
     /// An engine that keeps parts of a prompt is preferred, and they don't count as work for it.
     KeptParts,
     /// Adapters that are asked for beyond what their engines can read are loaded on more of them.
@@ -36,7 +36,7 @@
     /// All of them, with the names that operators write.
     pub const ALL: [(Self, &'static str); 11] = [
         (Self::CachedAdapters, "recent-adapters"),
-        (Self::RecentPatience, "recent-patience"),
+        (Self::CachedAdapterWait, "recent-patience"),
         (Self::KeptParts, "kept-parts"),
         (Self::Copies, "copies"),
         (Self::ZonePreference, "zone-preference"),
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -302,7 +302,7 @@
                 offer(choice(server, room, None, self.load_time + FETCH));
             }
         }
-        let patient = self.settings.uses(Feature::RecentPatience) && look.now < wanted.patient;
+        let patient = self.settings.uses(Feature::CachedAdapterWait) && look.now < wanted.patient;
         best.filter(|best| !patient || best.cost <= later)
     }
 
