--- a/crates/gateway/src/feature.rs
+++ b/crates/gateway/src/feature.rs
@@ -13,7 +13,7 @@
     /// A request waits for room at such an engine, though another one has room.
     CachedAdapterWait,
     /// An engine that keeps parts of a prompt is preferred, and they don't count as work for it.
-    KeptParts,
+    PrefixCache,
     /// Adapters that are asked for beyond what their engines can read are loaded on more of them.
     Copies,
     /// Engines and plain servers of the VM's own availability zone are preferred.
@@ -37,7 +37,7 @@
     pub const ALL: [(Self, &'static str); 11] = [
         (Self::CachedAdapters, "recent-adapters"),
         (Self::CachedAdapterWait, "recent-patience"),
-        (Self::KeptParts, "kept-parts"),
+        (Self::PrefixCache, "kept-parts"),
         (Self::Copies, "copies"),
         (Self::ZonePreference, "zone-preference"),
         (Self::ForecastRefusals, "forecast-refusals"),
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -129,7 +129,7 @@
         let Some(key) = job.key else {
             return;
         };
-        if self.settings.uses(Feature::KeptParts) {
+        if self.settings.uses(Feature::PrefixCache) {
             let kept = &mut engine.kept;
             kept.read(key, &job.work.prompt_parts, self.shape.tokens);
         }
