--- a/crates/gateway/src/feature.rs
+++ b/crates/gateway/src/feature.rs
@@ -15,7 +15,7 @@
     /// An engine that keeps parts of a prompt is preferred, and they don't count as work for it.
     PrefixCache,
     /// Adapters that are asked for beyond what their engines can read are loaded on more of them.
-    Copies,
+    ExtraReplicas,
     /// Engines and plain servers of the VM's own availability zone are preferred.
     ZonePreference,
     /// What can't be served in time by the forecast is refused at once.
@@ -38,7 +38,7 @@
         (Self::CachedAdapters, "recent-adapters"),
         (Self::CachedAdapterWait, "recent-patience"),
         (Self::PrefixCache, "kept-parts"),
-        (Self::Copies, "copies"),
+        (Self::ExtraReplicas, "copies"),
         (Self::ZonePreference, "zone-preference"),
         (Self::ForecastRefusals, "forecast-refusals"),
         (Self::HealthRanking, "health-ranking"),
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -180,7 +180,7 @@
     /// wait at the engines that hold it already, where it is long enough for a copy.
     fn wanted(&self, waits: &[Wait], spread: &Spread) -> Vec<Wanted> {
         let mut wanted: Vec<Wanted> = Vec::new();
-        let copies = self.settings.uses(Feature::Copies);
+        let copies = self.settings.uses(Feature::ExtraReplicas);
         let mut rows: FxHashMap<Key, usize> = FxHashMap::default();
         for wait in waits {
             let Some(job) = self.jobs.get(&wait.id).filter(|job| job.waits()) else {
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -21,9 +21,11 @@
 #[test]
 fn without_namesthem() {
     assert_eq!(DisabledFeatures::default().to_string(), "-");
-    let without: DisabledFeatures = [Feature::LeaseVotes, Feature::Copies].into_iter().collect();
+    let without: DisabledFeatures = [Feature::LeaseVotes, Feature::ExtraReplicas]
+        .into_iter()
+        .collect();
     assert_eq!(without.to_string(), "copies,pledges");
-    assert!(!without.uses(Feature::Copies) && without.uses(Feature::Strength));
+    assert!(!without.uses(Feature::ExtraReplicas) && without.uses(Feature::Strength));
 }
 
 /// Without any one of them, and without all, what is promised holds under an outage, a lost engine, a lost holder and new
