--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -13,8 +13,8 @@
 use crate::effect::Effects;
 use crate::event::RequestId;
 use crate::feature::Feature;
-use crate::measure;
 use crate::message::Message;
+use crate::metrics;
 use crate::node::Gateway;
 use crate::request::state::{Phase, RefusalDetail};
 use crate::timer::Timer;
@@ -71,7 +71,7 @@
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.charged = true;
             let account = state.account.as_ref().map(|account| &account.name);
-            measure::tokens(out, account, state.cost, "admitted");
+            metrics::tokens(out, account, state.cost, "admitted");
         }
         self.find_server(request, out);
     }
@@ -221,7 +221,7 @@
         let spread = Span(self.rng.random_range(0..=after.0 / 2));
         if let Some(state) = self.in_flight.get(&request) {
             let account = state.account.as_ref().map(|account| &account.name);
-            measure::tokens(out, account, state.cost, "refused");
+            metrics::tokens(out, account, state.cost, "refused");
         }
         self.refuse_request(request, Some(after + spread), RefusalDetail::OverLimit, out);
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -24,8 +24,8 @@
 use crate::effect::{Effect, Effects, KvOperation, KvOperationId, Locality};
 use crate::event::{Event, RequestId};
 use crate::feature::Feature;
-use crate::measure;
 use crate::message::Message;
+use crate::metrics;
 use crate::request::budget::RetryBudget;
 use crate::request::load_balancer::ServerState;
 use crate::request::notice;
@@ -206,7 +206,7 @@
                 };
                 out.push(Effect::SendMessage(address, reach, message));
             }
-            None => measure::plain(out, Figure::Dropped, "peer_unknown"),
+            None => metrics::plain(out, Figure::Dropped, "peer_unknown"),
         }
     }
 
@@ -256,7 +256,7 @@
     }
 
     pub(crate) fn store(&mut self, op: KvOperation, out: &mut Effects) -> KvOperationId {
-        measure::plain(out, Figure::PlatformCalls, op.name());
+        metrics::plain(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
         out.push(Effect::KvCall(id, op));
         id
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -18,8 +18,8 @@
 use crate::config::{Route, RouteKind, Target};
 use crate::effect::{Attempt, Effect, Effects, NextStep, RefusalReason};
 use crate::event::{CallerRequest, RequestId};
-use crate::measure;
 use crate::message::{PlacementRequest, Progress};
+use crate::metrics;
 use crate::node::Gateway;
 use crate::timer::Timer;
 
@@ -282,7 +282,7 @@
         );
         Self::log(out, Code::Sent, detail);
         let (first, service) = (state.sends == 1, state.service.clone());
-        measure::count(
+        metrics::count(
             out,
             if first {
                 Figure::Attempts
@@ -293,7 +293,7 @@
             "send",
         );
         if first {
-            measure::time(out, Figure::QueueWait, &service, waited);
+            metrics::time(out, Figure::QueueWait, &service, waited);
         }
         out.push(Effect::Request(request, NextStep::Attempt(Box::new(send))));
     }
@@ -308,7 +308,7 @@
         }
         let took = self.now.since(state.arrived);
         state.first.get_or_insert(took);
-        measure::time(out, Figure::FirstToken, &state.service, took);
+        metrics::time(out, Figure::FirstToken, &state.service, took);
         self.report_progress(request, Progress::AnswerStarted, out);
     }
 
@@ -331,8 +331,8 @@
             state.call.id, state.route.name
         );
         Self::log(out, Code::Served, detail);
-        measure::time(out, Figure::WholeAnswer, &state.service, took);
-        measure::count(out, Figure::Answered, &state.service, "whole");
+        metrics::time(out, Figure::WholeAnswer, &state.service, took);
+        metrics::count(out, Figure::Answered, &state.service, "whole");
         if let Some(row) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -9,8 +9,8 @@
 use crate::config::RouteKind;
 use crate::effect::{Effect, Effects, NextStep, RefusalReason};
 use crate::event::{Execution, FailureCause, RequestId};
-use crate::measure;
 use crate::message::Progress;
+use crate::metrics;
 use crate::node::Gateway;
 use crate::request::budget::Terms;
 use crate::request::health::Health;
@@ -169,7 +169,7 @@
             self.permit_due(request, out);
             return;
         }
-        measure::count(out, Figure::Refused, &state.service, "timed_out");
+        metrics::count(out, Figure::Refused, &state.service, "timed_out");
         let begun = matches!(state.phase, Phase::Sent { begun: true, .. });
         let sent = matches!(state.phase, Phase::Sent { .. });
         let (id, server) = (&state.call.id, state.server().map_or("-", Server::as_str));
@@ -237,7 +237,7 @@
                 state.sends
             ),
         );
-        measure::count(out, Figure::Refused, &state.service, why.name());
+        metrics::count(out, Figure::Refused, &state.service, why.name());
         out.push(refusal(
             request,
             why.reason(ran),
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -14,8 +14,8 @@
 use crate::cluster::snapshot::{EntryKey, EntryValue, Holder, Resident, Revision, Version};
 use crate::effect::Effects;
 use crate::event::{LinkFault, RequestId};
-use crate::measure;
 use crate::message::{EngineResidents, Message, PlacementRequest, Progress, Running};
+use crate::metrics;
 use crate::node::Gateway;
 use crate::request::state::Phase;
 use crate::timer::Timer;
@@ -208,7 +208,7 @@
         let now = self.now;
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         if fence < client.fence {
-            measure::count(out, Figure::Dropped, service, "old_scheduler");
+            metrics::count(out, Figure::Dropped, service, "old_scheduler");
             return false;
         }
         let changed = fence > client.fence
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -4,8 +4,8 @@
 use dahliastile_core::metric::Figure;
 
 use crate::effect::{Effect, Effects};
-use crate::measure;
 use crate::message::Message;
+use crate::metrics;
 use crate::node::Gateway;
 use crate::scheduler::{Decision, Scheduler};
 use crate::timer::Timer;
@@ -63,7 +63,7 @@
                 );
             }
             Decision::Order(id, server, address, order) => {
-                measure::count(
+                metrics::count(
                     out,
                     Figure::Loads,
                     service,
