--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -10,7 +10,12 @@
 use crate::effect::{Effect, Effects};
 
 /// Counts one of a figure for a service.
-pub(crate) fn count(out: &mut Effects, figure: Figure, service: &Service, label: &'static str) {
+pub(crate) fn count_for_service(
+    out: &mut Effects,
+    figure: Figure,
+    service: &Service,
+    label: &'static str,
+) {
     put(out, figure, 1.0, Some(service), Some(label));
 }
 
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -282,7 +282,7 @@
         );
         Self::log(out, Code::Sent, detail);
         let (first, service) = (state.sends == 1, state.service.clone());
-        metrics::count(
+        metrics::count_for_service(
             out,
             if first {
                 Figure::Attempts
@@ -332,7 +332,7 @@
         );
         Self::log(out, Code::Served, detail);
         metrics::time(out, Figure::WholeAnswer, &state.service, took);
-        metrics::count(out, Figure::Answered, &state.service, "whole");
+        metrics::count_for_service(out, Figure::Answered, &state.service, "whole");
         if let Some(row) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -169,7 +169,7 @@
             self.permit_due(request, out);
             return;
         }
-        metrics::count(out, Figure::Refused, &state.service, "timed_out");
+        metrics::count_for_service(out, Figure::Refused, &state.service, "timed_out");
         let begun = matches!(state.phase, Phase::Sent { begun: true, .. });
         let sent = matches!(state.phase, Phase::Sent { .. });
         let (id, server) = (&state.call.id, state.server().map_or("-", Server::as_str));
@@ -237,7 +237,7 @@
                 state.sends
             ),
         );
-        metrics::count(out, Figure::Refused, &state.service, why.name());
+        metrics::count_for_service(out, Figure::Refused, &state.service, why.name());
         out.push(refusal(
             request,
             why.reason(ran),
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -208,7 +208,7 @@
         let now = self.now;
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         if fence < client.fence {
-            metrics::count(out, Figure::Dropped, service, "old_scheduler");
+            metrics::count_for_service(out, Figure::Dropped, service, "old_scheduler");
             return false;
         }
         let changed = fence > client.fence
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -63,7 +63,7 @@
                 );
             }
             Decision::Order(id, server, address, order) => {
-                metrics::count(
+                metrics::count_for_service(
                     out,
                     Figure::Loads,
                     service,
