--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -20,7 +20,7 @@
 }
 
 /// Observes a time of a figure for a service.
-pub(crate) fn time(out: &mut Effects, figure: Figure, service: &Service, span: Span) {
+pub(crate) fn observe_seconds(out: &mut Effects, figure: Figure, service: &Service, span: Span) {
     put(out, figure, span.as_secs_f64(), Some(service), None);
 }
 
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -293,7 +293,7 @@
             "send",
         );
         if first {
-            metrics::time(out, Figure::QueueWait, &service, waited);
+            metrics::observe_seconds(out, Figure::QueueWait, &service, waited);
         }
         out.push(Effect::Request(request, NextStep::Attempt(Box::new(send))));
     }
@@ -308,7 +308,7 @@
         }
         let took = self.now.since(state.arrived);
         state.first.get_or_insert(took);
-        metrics::time(out, Figure::FirstToken, &state.service, took);
+        metrics::observe_seconds(out, Figure::FirstToken, &state.service, took);
         self.report_progress(request, Progress::AnswerStarted, out);
     }
 
@@ -331,7 +331,7 @@
             state.call.id, state.route.name
         );
         Self::log(out, Code::Served, detail);
-        metrics::time(out, Figure::WholeAnswer, &state.service, took);
+        metrics::observe_seconds(out, Figure::WholeAnswer, &state.service, took);
         metrics::count_for_service(out, Figure::Answered, &state.service, "whole");
         if let Some(row) = state
             .server()
