--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -25,7 +25,7 @@
 }
 
 /// Counts one of a figure that belongs to no service.
-pub(crate) fn plain(out: &mut Effects, figure: Figure, label: &'static str) {
+pub(crate) fn count_global(out: &mut Effects, figure: Figure, label: &'static str) {
     put(out, figure, 1.0, None, Some(label));
 }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -206,7 +206,7 @@
                 };
                 out.push(Effect::SendMessage(address, reach, message));
             }
-            None => metrics::plain(out, Figure::Dropped, "peer_unknown"),
+            None => metrics::count_global(out, Figure::Dropped, "peer_unknown"),
         }
     }
 
@@ -256,7 +256,7 @@
     }
 
     pub(crate) fn store(&mut self, op: KvOperation, out: &mut Effects) -> KvOperationId {
-        metrics::plain(out, Figure::PlatformCalls, op.name());
+        metrics::count_global(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
         out.push(Effect::KvCall(id, op));
         id
