--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -71,7 +71,7 @@
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.charged = true;
             let account = state.account.as_ref().map(|account| &account.name);
-            metrics::tokens(out, account, state.cost, "admitted");
+            metrics::count_tokens(out, account, state.cost, "admitted");
         }
         self.find_server(request, out);
     }
@@ -221,7 +221,7 @@
         let spread = Span(self.rng.random_range(0..=after.0 / 2));
         if let Some(state) = self.in_flight.get(&request) {
             let account = state.account.as_ref().map(|account| &account.name);
-            metrics::tokens(out, account, state.cost, "refused");
+            metrics::count_tokens(out, account, state.cost, "refused");
         }
         self.refuse_request(request, Some(after + spread), RefusalDetail::OverLimit, out);
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -30,7 +30,7 @@
 }
 
 /// Counts tokens of a client account.
-pub(crate) fn tokens(
+pub(crate) fn count_tokens(
     out: &mut Effects,
     account: Option<&Tenant>,
     tokens: Tokens,
