--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -136,7 +136,7 @@
 
     /// Whether a scheduler ran in the last step, so that its length is to be told to [`Self::took`].
     #[must_use]
-    pub fn ran(&self) -> bool {
+    pub fn scheduler_ran(&self) -> bool {
         self.ran
     }
 
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -334,8 +334,12 @@
         gateway.step(now, event, &mut effects);
         let faults = gateway.verify();
         assert!(faults.is_empty(), "at {now}: {faults:?}");
-        let took = if gateway.ran() { each + run } else { each };
-        if gateway.ran() {
+        let took = if gateway.scheduler_ran() {
+            each + run
+        } else {
+            each
+        };
+        if gateway.scheduler_ran() {
             gateway.took(took);
         }
         let wake = gateway.wake();
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -110,7 +110,7 @@
             self.perform(now, effect);
         }
         self.effects = effects;
-        if self.gateway.ran() {
+        if self.gateway.scheduler_ran() {
             self.gateway.took(self.clock.now().since(now));
         }
         let limits = self.gateway.limits();
