--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -134,7 +134,7 @@
         self.run_schedulers(out);
     }
 
-    /// Whether a scheduler ran in the last step, so that its length is to be told to [`Self::took`].
+    /// Whether a scheduler ran in the last step, so that its length is to be told to [`Self::record_step_duration`].
     #[must_use]
     pub fn scheduler_ran(&self) -> bool {
         self.ran
@@ -142,7 +142,7 @@
 
     /// The last step, in which a scheduler ran, took so long, with what was done for it: schedulers run no more often than their
     /// VM can bear.
-    pub fn took(&mut self, span: Span) {
+    pub fn record_step_duration(&mut self, span: Span) {
         for scheduler in self.schedulers.values_mut() {
             scheduler.record_run_duration(span);
         }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -340,7 +340,7 @@
             each
         };
         if gateway.scheduler_ran() {
-            gateway.took(took);
+            gateway.record_step_duration(took);
         }
         let wake = gateway.wake();
         for effect in effects {
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -111,7 +111,8 @@
         }
         self.effects = effects;
         if self.gateway.scheduler_ran() {
-            self.gateway.took(self.clock.now().since(now));
+            self.gateway
+                .record_step_duration(self.clock.now().since(now));
         }
         let limits = self.gateway.limits();
         self.hub.ready.set(self.gateway.ready());
