--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -185,7 +185,7 @@
 pub enum Event {
     /// The gateway begins.
     Start,
-    /// A time asked for by [`crate::Gateway::wake`] has come.
+    /// A time asked for by [`crate::Gateway::next_wakeup`] has come.
     Tick,
     /// A caller's request has been read.
     RequestArrived(RequestId, Box<CallerRequest>),
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -150,7 +150,7 @@
 
     /// When the next [`Event::Tick`] is due.
     #[must_use]
-    pub fn wake(&self) -> Instant {
+    pub fn next_wakeup(&self) -> Instant {
         self.timers.next()
     }
 
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -342,7 +342,7 @@
         if gateway.scheduler_ran() {
             gateway.record_step_duration(took);
         }
-        let wake = gateway.wake();
+        let wake = gateway.next_wakeup();
         for effect in effects {
             self.perform(vm, effect);
         }
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -62,7 +62,7 @@
         self.step(Event::Start);
         loop {
             self.note_lateness();
-            let wake = self.clock.at(self.gateway.wake());
+            let wake = self.clock.at(self.gateway.next_wakeup());
             let deadline = *stop.borrow_and_update();
             let end = self
                 .clock
@@ -88,7 +88,7 @@
     /// Writes a line where the loop is late, with what waits for it.
     fn note_lateness(&mut self) {
         let now = self.clock.now();
-        let late = now.since(self.gateway.wake());
+        let late = now.since(self.gateway.next_wakeup());
         if late < LATE || now.since(self.lateness.told) < LATE_AGAIN {
             return;
         }
