--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -176,7 +176,7 @@
 
     /// The requests in progress.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.in_flight.len() + self.startup_queue.len()
     }
 
@@ -405,7 +405,11 @@
 
     fn stop(&mut self, out: &mut Effects) {
         self.stopping = true;
-        Self::log(out, Code::Draining, format!("open={}", self.open()));
+        Self::log(
+            out,
+            Code::Draining,
+            format!("open={}", self.open_requests()),
+        );
         self.resign_all(out);
         self.deregister(out);
     }
--- a/crates/shell/src/run.rs
+++ b/crates/shell/src/run.rs
@@ -126,7 +126,7 @@
         lateness: Lateness::default(),
     };
     driver.run(ending).await;
-    let open = driver.gateway.open();
+    let open = driver.gateway.open_requests();
     driver.journal.write(
         clock.now(),
         &Record::new(Code::Stopped, format!("open={open}")),
