--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -156,7 +156,7 @@
 
     /// Whether new connections are welcome.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.config.is_some() && !self.stopping
     }
 
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -115,7 +115,7 @@
                 .record_step_duration(self.clock.now().since(now));
         }
         let limits = self.gateway.limits();
-        self.hub.ready.set(self.gateway.ready());
+        self.hub.ready.set(self.gateway.is_ready());
         self.hub.body_limit.set(limits.body);
         self.hub.head_limit.set(limits.head);
         self.hub.head_time.set(duration(limits.head_time));
