--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -88,7 +88,7 @@
     /// Whether the process is to stop.
     pub(crate) stopping: bool,
     /// Whether a scheduler ran in the last step.
-    pub(crate) ran: bool,
+    pub(crate) scheduler_ran: bool,
 }
 
 impl Gateway {
@@ -119,7 +119,7 @@
             timers: Timers::default(),
             last_id: 0,
             stopping: false,
-            ran: false,
+            scheduler_ran: false,
             settings,
         }
     }
@@ -127,7 +127,7 @@
     /// Handles one event at the time `now` of the VM's monotonic clock, and appends what is to be done.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Effects) {
         self.now = self.now.max(now);
-        self.ran = false;
+        self.scheduler_ran = false;
         self.handle(event, out);
         self.release_startup_queue(out);
         self.run_timers(out);
@@ -137,7 +137,7 @@
     /// Whether a scheduler ran in the last step, so that its length is to be told to [`Self::record_step_duration`].
     #[must_use]
     pub fn scheduler_ran(&self) -> bool {
-        self.ran
+        self.scheduler_ran
     }
 
     /// The last step, in which a scheduler ran, took so long, with what was done for it: schedulers run no more often than their
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -27,7 +27,7 @@
             let Some(scheduler) = self.schedulers.get_mut(&service) else {
                 continue;
             };
-            self.ran = true;
+            self.scheduler_ran = true;
             scheduler.set_vm_count(vms);
             let mut decisions = Vec::new();
             scheduler.run(self.now, &mut decisions);
