--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -168,7 +168,7 @@
             _ => ("key_unknown", None),
         };
         let key = call.key.map_or("none".to_owned(), |key| key.to_string());
-        let (version, age) = (self.version(), self.store_answer_age());
+        let (version, age) = (self.config_version(), self.store_answer_age());
         let detail = format!(
             "id={} why={why} key={key} config={version} word_age={age}",
             call.id
--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -164,7 +164,7 @@
     }
 
     fn apply_config(&mut self, config: Arc<Config>, out: &mut Effects) {
-        if config.version <= self.version() {
+        if config.version <= self.config_version() {
             return;
         }
         self.index = RouteIndex::new(&config);
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -170,7 +170,7 @@
 
     /// The version of the configuration in force, 0 where none is known.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
 
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -199,7 +199,7 @@
 
     /// Refuses a request that no route fits.
     fn refuse_unrouted(&self, request: RequestId, call: &CallerRequest, out: &mut Effects) {
-        let version = self.version();
+        let version = self.config_version();
         let detail = format!(
             "id={} why=no_route config={version} host={} path={}",
             call.id, call.host, call.path
@@ -250,7 +250,7 @@
         version: Option<Version>,
         out: &mut Effects,
     ) {
-        let config = self.version();
+        let config = self.config_version();
         let (Some(state), Some(row)) = (
             self.in_flight.get_mut(&request),
             self.servers.get_mut(server),
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -41,7 +41,7 @@
 
 fn versions(world: &World, version: u64) -> usize {
     let gateways = world.hosts.iter().filter_map(|host| host.gateway.as_ref());
-    gateways.filter(|g| g.version() == version).count()
+    gateways.filter(|g| g.config_version() == version).count()
 }
 
 #[test]
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -52,7 +52,7 @@
     };
     for vm in (0..VMS).filter(|vm| series.was_well(*vm, now)) {
         let gateway = series.world.hosts[vm].gateway.as_ref().expect("it runs");
-        let version = gateway.version();
+        let version = gateway.config_version();
         assert!(
             version >= *due,
             "seed {seed}: at {now} vm{vm} has {version} of {due}"
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -32,7 +32,7 @@
 fn versions(world: &World) -> Vec<u64> {
     let gateways = world.hosts.iter().filter_map(|host| host.gateway.as_ref());
     gateways
-        .map(dahliastile_gateway::Gateway::version)
+        .map(dahliastile_gateway::Gateway::config_version)
         .collect()
 }
 
