--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -297,7 +297,7 @@
 
     fn leadership_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
         let now = self.now;
-        let id = self.store(op, out);
+        let id = self.call_kv(op, out);
         self.leaderships.calls.insert(id, (purpose, now));
     }
 
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -199,7 +199,7 @@
 
     fn registration_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
         let now = self.now;
-        let id = self.store(op, out);
+        let id = self.call_kv(op, out);
         self.registration.calls.insert(id, (purpose, now));
     }
 }
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -92,7 +92,7 @@
 
 impl Gateway {
     pub(crate) fn start_watching(&mut self, out: &mut Effects) {
-        self.watch.op = Some(self.store(KvOperation::List, out));
+        self.watch.op = Some(self.call_kv(KvOperation::List, out));
     }
 
     /// The call in progress came back.
@@ -117,7 +117,7 @@
             KvOutcome::Compacted => {
                 self.watch.cursor = None;
                 Self::log(out, Code::StoreCompacted, "next=list".to_owned());
-                self.watch.op = Some(self.store(KvOperation::List, out));
+                self.watch.op = Some(self.call_kv(KvOperation::List, out));
             }
             other => self.store_away(&other, out),
         }
@@ -172,7 +172,7 @@
             Some(revision) => KvOperation::Watch(revision, wait),
             None => KvOperation::List,
         };
-        self.watch.op = Some(self.store(op, out));
+        self.watch.op = Some(self.call_kv(op, out));
     }
 
     /// Whether a VM was silent a moment ago.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -255,7 +255,7 @@
         }
     }
 
-    pub(crate) fn store(&mut self, op: KvOperation, out: &mut Effects) -> KvOperationId {
+    pub(crate) fn call_kv(&mut self, op: KvOperation, out: &mut Effects) -> KvOperationId {
         metrics::count_global(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
         out.push(Effect::KvCall(id, op));
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -177,7 +177,7 @@
                 (Purpose::Lease, KvOperation::GrantLease(QUARANTINE_DURATION))
             }
         };
-        let id = self.store(op, out);
+        let id = self.call_kv(op, out);
         self.quarantine.records.call = Some((id, purpose));
     }
 
