--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -183,7 +183,7 @@
     }
 
     /// The configuration has changed: accounts that are new have an empty share, others keep what still fits.
-    pub(crate) fn limits_changed(&mut self, out: &mut Effects) {
+    pub(crate) fn apply_account_limits(&mut self, out: &mut Effects) {
         let limits: BTreeMap<Tenant, TokenLimit> = self.limits_by_account().collect();
         let mut shares = std::mem::take(&mut self.quota.shares);
         for (account, limit) in &limits {
--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -175,7 +175,7 @@
             format!("version={version} routes={routes}"),
         );
         self.config = Some(config);
-        self.limits_changed(out);
+        self.apply_account_limits(out);
         self.update_candidacies(out);
     }
 
