--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -178,7 +178,7 @@
     }
 
     /// The key-value service has this VM's entry of an earlier start.
-    pub(crate) fn quota_returned(&mut self) {
+    pub(crate) fn quota_restarted(&mut self) {
         self.quota.returned = true;
     }
 
--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -140,7 +140,7 @@
             (EntryKey::Member(vm), None) if vm == self.settings.vm => self.registration_gone(),
             (EntryKey::Member(vm), Some(EntryValue::Member(member))) => {
                 if vm == self.settings.vm && member.incarnation != self.settings.incarnation {
-                    self.quota_returned();
+                    self.quota_restarted();
                 }
                 self.membership.listed(&vm, &member);
             }
