--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -40,7 +40,7 @@
 }
 
 fn versions(world: &World, version: u64) -> usize {
-    let gateways = world.hosts.iter().filter_map(|host| host.gateway.as_ref());
+    let gateways = world.vms.iter().filter_map(|host| host.gateway.as_ref());
     gateways.filter(|g| g.config_version() == version).count()
 }
 
@@ -100,7 +100,7 @@
         let mut away: Vec<usize> = world.store.watched_by.iter().copied().collect();
         away.extend((0..vms).filter(|vm| vm % 3 == 0));
         for vm in &away {
-            world.hosts[*vm].store = false;
+            world.vms[*vm].store = false;
         }
         world.wake_watchers();
         world.configure(config(9));
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -51,7 +51,7 @@
         return;
     };
     for vm in (0..VMS).filter(|vm| series.was_well(*vm, now)) {
-        let gateway = series.world.hosts[vm].gateway.as_ref().expect("it runs");
+        let gateway = series.world.vms[vm].gateway.as_ref().expect("it runs");
         let version = gateway.config_version();
         assert!(
             version >= *due,
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -44,8 +44,8 @@
 fn repeat(world: &mut World, path: &str, times: usize) -> Vec<u64> {
     let mut others = Vec::new();
     for at in 0..times {
-        let vm = at % world.hosts.len();
-        if world.hosts[vm].gateway.is_some() {
+        let vm = at % world.vms.len();
+        if world.vms[vm].gateway.is_some() {
             let crashing = crashing(world, path, at);
             world.ask(vm, crashing);
         }
@@ -155,7 +155,7 @@
 fn crashing_withvmslost() {
     let kill = |world: &mut World, vm: usize| world.kill(vm, false);
     let freeze = |world: &mut World, vm: usize| world.freeze(vm, Span::from_secs(4));
-    let cut = |world: &mut World, vm: usize| world.hosts[vm].net = false;
+    let cut = |world: &mut World, vm: usize| world.vms[vm].net = false;
     let faults: [fn(&mut World, usize); 3] = [kill, freeze, cut];
     for (at, fault) in faults.into_iter().enumerate() {
         for after in [1, 2, 3] {
@@ -168,7 +168,7 @@
             };
             fault(&mut world, vm);
             repeat(&mut world, "/plan/crash", 6);
-            world.hosts[vm].net = true;
+            world.vms[vm].net = true;
             repeat(&mut world, "/plan/crash", 25);
             check(&world, "/plan/crash");
         }
@@ -198,13 +198,13 @@
     let mut world = warm();
     world.store_up = false;
     world.wake_watchers();
-    world.hosts[5].peers = false;
+    world.vms[5].peers = false;
     for at in 0..10 {
         let crashing = crashing(&mut world, "/plan/crash", at);
         world.ask(at % 5, crashing);
         world.quiet_night(REPEATED);
     }
-    world.hosts[5].peers = true;
+    world.vms[5].peers = true;
     world.run(Span::from_secs(2));
     let ends = world.crashing.ends.len();
     for at in 10..20 {
@@ -238,7 +238,7 @@
     let mut world = warm();
     repeat(&mut world, "/query/crash", 2);
     for vm in 0..6 {
-        world.hosts[vm].peers = vm % 2 == 0;
+        world.vms[vm].peers = vm % 2 == 0;
     }
     repeat(&mut world, "/query/crash", 25);
     check(&world, "/query/crash");
@@ -254,7 +254,7 @@
     for at in 0..30 {
         for kind in 0..kinds {
             let crashing = crashing(world, &format!("/plan/crash{kind}"), at);
-            world.ask((at * stride + kind) % world.hosts.len(), crashing);
+            world.ask((at * stride + kind) % world.vms.len(), crashing);
         }
         world.run(pause);
     }
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -30,7 +30,7 @@
 }
 
 fn versions(world: &World) -> Vec<u64> {
-    let gateways = world.hosts.iter().filter_map(|host| host.gateway.as_ref());
+    let gateways = world.vms.iter().filter_map(|host| host.gateway.as_ref());
     gateways
         .map(dahliastile_gateway::Gateway::config_version)
         .collect()
@@ -102,7 +102,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.hosts[*vm].store = false;
+        world.vms[*vm].store = false;
     }
     world.wake_watchers();
     world.configure(config(9));
@@ -143,7 +143,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.hosts[*vm].silent = true;
+        world.vms[*vm].silent = true;
     }
     world.configure(config(9));
     world.run(Span::from_millis(1_900));
@@ -212,7 +212,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.hosts[*vm].silent = true;
+        world.vms[*vm].silent = true;
     }
     let calls = world.store.calls;
     churn(&mut world, Span::from_secs(4));
@@ -288,7 +288,7 @@
 
 /// Whether each VM has a plain request served.
 fn all_serve(world: &mut World) -> bool {
-    let vms = 0..world.hosts.len();
+    let vms = 0..world.vms.len();
     let asked: Vec<u64> = vms
         .map(|vm| world.ask(vm, support::setup::call("q", "/query/x", 2_000, None)))
         .collect();
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -94,7 +94,7 @@
 fn holder_cutofffromstoreyields() {
     let mut world = warm();
     let old = world.holder().expect("a holder");
-    world.hosts[old].store = false;
+    world.vms[old].store = false;
     world.wake_watchers();
     let numbers = world.quiet_night(Span::from_secs(6));
     assert_ne!(world.holder(), Some(old));
@@ -245,7 +245,7 @@
     let mut late_held = 0;
     for late in 0..2 {
         let mut world = World::new(2, 2, 1);
-        world.hosts[late].store_lag = Span::from_millis(150);
+        world.vms[late].store_lag = Span::from_millis(150);
         while world.holder().is_none() {
             world.run(Span::from_millis(1));
         }
@@ -269,18 +269,18 @@
 fn holder_restsbeforeitholdsagain() {
     let mut world = warm();
     // The time in ms at which each VM last held it, and who held it last.
-    let mut held: Vec<Option<u64>> = vec![None; world.hosts.len()];
+    let mut held: Vec<Option<u64>> = vec![None; world.vms.len()];
     let mut last = world.holder();
     let mut changes = 0;
     for step in 0..500_u64 {
         let holder = world.holder();
         if step % 20 == 10 {
-            world.hosts.iter_mut().for_each(|host| host.store = true);
+            world.vms.iter_mut().for_each(|host| host.store = true);
         }
         if step % 20 == 0 && step < 200 {
             // Its way to the key-value service is cut for a moment, so that another VM takes the leadership.
             if let Some(vm) = holder {
-                world.hosts[vm].store = false;
+                world.vms[vm].store = false;
             }
             world.store.remove(&EntryKey::Holder(name(ENGINES)));
             world.wake_watchers();
@@ -335,9 +335,9 @@
     }
     world.run(Span::from_millis(300));
     world.kill(vm, false);
-    world.hosts[vm].silent = true;
+    world.vms[vm].silent = true;
     world.run(Span::from_secs(1));
-    world.hosts[vm].silent = false;
+    world.vms[vm].silent = false;
     world.run(Span::from_secs(3));
     let states = world.lines.iter().rev();
     let mut states = states.filter(|line| line.contains("SchedulerState"));
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -182,11 +182,11 @@
         let holder = world.holder().unwrap_or(round);
         match round {
             0 => world.freeze(holder, Span::from_secs(2)),
-            1 => world.hosts[holder].peers = false,
+            1 => world.vms[holder].peers = false,
             _ => world.kill(holder, false),
         }
         world.busy_night(Span::from_secs(4));
-        world.hosts[holder].peers = true;
+        world.vms[holder].peers = true;
     }
     check(&world, "e3", BOUND);
 }
@@ -211,7 +211,7 @@
             for _ in 0..3 {
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
-                if series.world.hosts[vm].gateway.is_some() {
+                if series.world.vms[vm].gateway.is_some() {
                     series.world.ask(vm, mixed(asked));
                 }
             }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -172,12 +172,12 @@
             match round {
                 0 => world.kill(holder, false),
                 1 => world.freeze(holder, Span::from_secs(2)),
-                2 => world.hosts[holder].peers = false,
+                2 => world.vms[holder].peers = false,
                 _ => world.store_up = false,
             }
         }
         world.busy_night(Span::from_secs(4));
-        for host in &mut world.hosts {
+        for host in &mut world.vms {
             host.peers = true;
         }
     }
@@ -213,7 +213,7 @@
             for _ in 0..3 {
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
-                if series.world.hosts[vm].gateway.is_some() {
+                if series.world.vms[vm].gateway.is_some() {
                     series.world.ask(vm, mixed(asked));
                 }
             }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -42,7 +42,7 @@
 /// Cold requests at all VMs, every 25 ms at each, so often.
 fn cold_everywhere(world: &mut World, times: usize) {
     for at in 0..times * 4 {
-        for vm in 0..world.hosts.len() {
+        for vm in 0..world.vms.len() {
             world.ask(vm, draft(&format!("e{at}-{vm}"), &format!("e{at}-{vm}")));
         }
         world.run(Span::from_millis(25));
@@ -71,8 +71,8 @@
 fn holder_unfencedstopsbeforeitsleaseends() {
     let mut world = unfenced();
     let old = world.holder().expect("a holder");
-    world.hosts[old].store = false;
-    world.hosts[old].peers = false;
+    world.vms[old].store = false;
+    world.vms[old].peers = false;
     world.wake_watchers();
     let mut gone = None;
     for at in 0..400_u32 {
@@ -190,15 +190,15 @@
         let mut world = unfenced();
         world.rng = ChaCha8Rng::seed_from_u64(seed);
         for step in 0..60 {
-            let vm = world.rng.random_range(0..world.hosts.len());
+            let vm = world.rng.random_range(0..world.vms.len());
             match world.rng.random_range(0..24) {
                 0 | 1 => world.store_up = !world.store_up,
                 2 => world.store.expire(Instant::NEVER),
                 3 => world.kill(vm, false),
                 4 => world.freeze(vm, Span::from_millis(1_500)),
-                5 => world.hosts[vm].store = !world.hosts[vm].store,
-                6 => world.hosts[vm].peers = !world.hosts[vm].peers,
-                7 => world.hosts[vm].silent = !world.hosts[vm].silent,
+                5 => world.vms[vm].store = !world.vms[vm].store,
+                6 => world.vms[vm].peers = !world.vms[vm].peers,
+                7 => world.vms[vm].silent = !world.vms[vm].silent,
                 _ => {}
             }
             world.wake_watchers();
@@ -217,10 +217,10 @@
     for cut in [1_400, 1_600, 1_800, 2_000, 2_200] {
         let mut world = unfenced();
         let old = world.holder().expect("a holder");
-        world.hosts[old].store = false;
+        world.vms[old].store = false;
         world.wake_watchers();
         world.quiet_night(Span::from_millis(cut));
-        world.hosts[old].peers = false;
+        world.vms[old].peers = false;
         cold_everywhere(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
         one_at_a_time(&world);
@@ -238,8 +238,8 @@
         world.store_up = false;
         world.wake_watchers();
         world.quiet_night(Span::from_millis(3_000 + apart));
-        world.hosts[old].store = false;
-        world.hosts[old].peers = false;
+        world.vms[old].store = false;
+        world.vms[old].peers = false;
         world.store.remove(&EntryKey::Holder(name(ENGINES)));
         world.store_up = true;
         world.wake_watchers();
@@ -309,9 +309,9 @@
     world.run(Span::from_secs(4));
     assert_eq!(world.holder(), Some(2));
     for _ in 0..3 {
-        world.hosts[2].silent = true;
+        world.vms[2].silent = true;
         world.quiet_night(Span::from_millis(3_200));
-        world.hosts[2].silent = false;
+        world.vms[2].silent = false;
         world.quiet_night(Span::from_millis(500));
     }
     assert_eq!(world.holder(), Some(1));
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -221,14 +221,14 @@
     load.run(Span::from_secs(4));
     let begin = load.world.now;
     for vm in 0..23 {
-        load.world.hosts[vm].side = 1;
-        load.world.hosts[vm].store = false;
+        load.world.vms[vm].side = 1;
+        load.world.vms[vm].store = false;
     }
     load.run(Span::from_secs(12));
     let end = load.world.now;
     for vm in 0..23 {
-        load.world.hosts[vm].side = 0;
-        load.world.hosts[vm].store = true;
+        load.world.vms[vm].side = 0;
+        load.world.vms[vm].store = true;
     }
     load.run(Span::from_secs(6));
     load.check();
@@ -264,10 +264,10 @@
         match round % 3 {
             0 => load.world.kill(vm, false),
             1 => load.world.freeze(vm, Span::from_millis(1_500)),
-            _ => load.world.hosts[vm].net = false,
+            _ => load.world.vms[vm].net = false,
         }
         load.run(Span::from_secs(2));
-        load.world.hosts[vm].net = true;
+        load.world.vms[vm].net = true;
     }
     let end = load.world.now;
     load.world.run(Span::from_secs(1));
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -157,11 +157,11 @@
         match round {
             0 => world.kill(holder, false),
             1 => world.freeze(holder, Span::from_secs(2)),
-            2 => world.hosts[holder].peers = false,
+            2 => world.vms[holder].peers = false,
             _ => world.store_up = false,
         }
         world.busy_night(Span::from_secs(4));
-        world.hosts[holder].peers = true;
+        world.vms[holder].peers = true;
     }
     check(&world, "e0");
     check(&world, "e5");
@@ -192,7 +192,7 @@
             for _ in 0..3 {
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
-                if series.world.hosts[vm].gateway.is_some() {
+                if series.world.vms[vm].gateway.is_some() {
                     series.world.ask(vm, mixed(asked));
                 }
             }
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -88,7 +88,7 @@
 #[test]
 fn strong_backgetstheseat() {
     let mut world = fleet();
-    for host in &mut world.hosts[STRONG..] {
+    for host in &mut world.vms[STRONG..] {
         host.work = (Span(200), Span::from_millis(20));
     }
     for vm in 0..STRONG {
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -58,7 +58,7 @@
         let strengths: Vec<u32> = (0..VMS).map(strength).collect();
         let mut world = World::uneven(&strengths, ENGINES, 4, tuning);
         if seed % 2 == 1 {
-            for (vm, host) in world.hosts.iter_mut().enumerate() {
+            for (vm, host) in world.vms.iter_mut().enumerate() {
                 let each = if vm < STRONG { 100 } else { 400 };
                 host.work = (Span(each), Span(each * 5));
             }
@@ -132,24 +132,24 @@
                 (Span::from_millis(2_500), |world, vm| world.kill(vm, false))
             }
             3 => {
-                self.world.hosts[vm].peers = false;
-                (length, |world, vm| world.hosts[vm].peers = true)
+                self.world.vms[vm].peers = false;
+                (length, |world, vm| world.vms[vm].peers = true)
             }
             4 => {
-                self.world.hosts[vm].net = false;
-                (length, |world, vm| world.hosts[vm].net = true)
+                self.world.vms[vm].net = false;
+                (length, |world, vm| world.vms[vm].net = true)
             }
             5 => {
                 self.world.revoke(vm);
-                (length, |world, vm| world.hosts[vm].store = true)
+                (length, |world, vm| world.vms[vm].store = true)
             }
             6 => {
-                self.world.hosts[vm].store = false;
-                (length, |world, vm| world.hosts[vm].store = true)
+                self.world.vms[vm].store = false;
+                (length, |world, vm| world.vms[vm].store = true)
             }
             _ => {
-                self.world.hosts[vm].silent = true;
-                (length, |world, vm| world.hosts[vm].silent = false)
+                self.world.vms[vm].silent = true;
+                (length, |world, vm| world.vms[vm].silent = false)
             }
         };
         self.troubled[vm] = self.world.now;
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -87,7 +87,7 @@
 /// A VM.
 // Its faults are set one by one.
 #[allow(clippy::struct_excessive_bools)]
-pub struct Host {
+pub struct SimulatedVm {
     /// Its gateway, while it runs.
     pub gateway: Option<Gateway>,
     /// The number of its start.
@@ -146,7 +146,7 @@
     /// The time.
     pub now: Instant,
     /// The VMs.
-    pub hosts: Vec<Host>,
+    pub vms: Vec<SimulatedVm>,
     /// The servers.
     pub servers: BTreeMap<Server, (Engine, Arc<Backend>)>,
     /// The key-value service.
@@ -254,7 +254,7 @@
     ) -> Self {
         let mut world = Self {
             now: Instant(1_000_000),
-            hosts: Vec::new(),
+            vms: Vec::new(),
             servers: BTreeMap::new(),
             store: Store::default(),
             store_up: true,
@@ -288,7 +288,7 @@
             world.add_server(&format!("p{number}"), number, false);
         }
         for (number, strength) in strengths.iter().enumerate() {
-            world.hosts.push(Host {
+            world.vms.push(SimulatedVm {
                 strength: *strength,
                 gateway: None,
                 start: 0,
@@ -422,7 +422,7 @@
 
     /// Kills a VM's process; it starts again after a while, unless it is gone for good.
     pub fn kill(&mut self, vm: usize, for_good: bool) {
-        self.hosts[vm].gateway = None;
+        self.vms[vm].gateway = None;
         for asked in self
             .asked
             .values_mut()
@@ -442,7 +442,7 @@
 
     /// The key-value service turns a VM away and takes away what it wrote.
     pub fn revoke(&mut self, vm: usize) {
-        self.hosts[vm].store = false;
+        self.vms[vm].store = false;
         self.store
             .remove(&EntryKey::Member(name(&format!("vm{vm}"))));
         if self.holder() == Some(vm) {
@@ -454,7 +454,7 @@
     /// Has a VM stand still for a while.
     pub fn freeze(&mut self, vm: usize, span: Span) {
         let until = self.now + span;
-        self.hosts[vm].frozen = Some(until);
+        self.vms[vm].frozen = Some(until);
         self.at(until, Act::Thaw(vm));
     }
 
@@ -476,7 +476,7 @@
                 versions: Vec::new(),
             },
         );
-        if self.hosts[vm].gateway.is_none() {
+        if self.vms[vm].gateway.is_none() {
             self.asked.get_mut(&number).expect("just put").ended = Some((self.now, Answer::Lost));
         }
         self.deliver(vm, Event::RequestArrived(number, Box::new(call)));
@@ -492,8 +492,8 @@
     ) -> Vec<u64> {
         let mut numbers = Vec::new();
         for at in 0..count {
-            let vm = at % self.hosts.len();
-            if self.hosts[vm].gateway.is_some() {
+            let vm = at % self.vms.len();
+            if self.vms[vm].gateway.is_some() {
                 numbers.push(self.ask(vm, call(at)));
             }
             self.run(pause);
@@ -629,7 +629,7 @@
             let falls = engine.fences.windows(2).any(|w| w[1].1 < w[0].1);
             assert!(!falls, "{} took orders under a lower number", engine.id);
         }
-        for host in &self.hosts {
+        for host in &self.vms {
             if let Some(gateway) = &host.gateway {
                 assert_eq!(gateway.verify(), Vec::<String>::new());
             }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -18,7 +18,7 @@
 
 impl World {
     pub(super) fn start(&mut self, vm: usize) {
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         host.start += 1;
         host.frozen = None;
         host.wake = Instant::NEVER;
@@ -40,13 +40,13 @@
     pub(super) fn act(&mut self, act: Act) {
         match act {
             Act::Event(vm, start, event) => {
-                if self.hosts[vm].start == start {
+                if self.vms[vm].start == start {
                     self.deliver(vm, event);
                 }
             }
             Act::Wake(vm, start) => {
-                if self.hosts[vm].start == start {
-                    self.hosts[vm].wake = Instant::NEVER;
+                if self.vms[vm].start == start {
+                    self.vms[vm].wake = Instant::NEVER;
                     self.deliver(vm, Event::Tick);
                 }
             }
@@ -72,11 +72,11 @@
             }
             Act::Peer(from, to, message) => {
                 let sender: Vm = name(&format!("vm{from}"));
-                let linked = self.hosts[to].peers && self.hosts[from].peers;
-                let linked = linked && self.hosts[to].side == self.hosts[from].side;
-                if linked && self.hosts[to].net && self.hosts[to].gateway.is_some() {
+                let linked = self.vms[to].peers && self.vms[from].peers;
+                let linked = linked && self.vms[to].side == self.vms[from].side;
+                if linked && self.vms[to].net && self.vms[to].gateway.is_some() {
                     self.deliver(to, Event::PeerMessage(sender, message));
-                } else if self.hosts[from].net {
+                } else if self.vms[from].net {
                     let down = Event::PeerDown(setup::address(1, to), LinkFault::Unreachable);
                     self.deliver(from, down);
                 }
@@ -93,8 +93,8 @@
                 }
                 self.at(self.now + Span::from_millis(50), Act::Expire);
             }
-            Act::Free(vm, start) if self.hosts[vm].start == start => {
-                if let Some(event) = self.hosts[vm].queue.pop_front() {
+            Act::Free(vm, start) if self.vms[vm].start == start => {
+                if let Some(event) = self.vms[vm].queue.pop_front() {
                     self.handle(vm, event);
                 }
             }
@@ -104,8 +104,8 @@
             Act::Unlist(server) => self.unlist_server(server),
             Act::Succeed(id, engine, backend) => self.succeed(&id, engine, &backend),
             Act::Thaw(vm) => {
-                self.hosts[vm].frozen = None;
-                for event in std::mem::take(&mut self.hosts[vm].backlog) {
+                self.vms[vm].frozen = None;
+                for event in std::mem::take(&mut self.vms[vm].backlog) {
                     self.deliver(vm, event);
                 }
                 self.deliver(vm, Event::Tick);
@@ -114,12 +114,12 @@
     }
 
     pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: KvOperation) {
-        if self.hosts[vm].silent {
+        if self.vms[vm].silent {
             let event = Event::KvAnswered(op, KvOutcome::Unknown);
             self.at(self.now + SILENT_CALL, Act::Event(vm, start, event));
             return;
         }
-        let reached = self.store_up && self.hosts[vm].store;
+        let reached = self.store_up && self.vms[vm].store;
         let outcome = if reached {
             self.store.call(self.now, vm, op, call)
         } else {
@@ -142,7 +142,7 @@
             return;
         }
         for (vm, op, outcome) in self.store.wake(self.now) {
-            let outcome = if self.hosts[vm].store {
+            let outcome = if self.vms[vm].store {
                 outcome
             } else {
                 KvOutcome::Unknown
@@ -152,8 +152,8 @@
     }
 
     pub(super) fn answer_store(&mut self, vm: usize, op: u64, outcome: KvOutcome) {
-        let start = self.hosts.get(vm).map_or(0, |host| host.start);
-        let silent = self.hosts.get(vm).is_some_and(|host| host.silent);
+        let start = self.vms.get(vm).map_or(0, |host| host.start);
+        let silent = self.vms.get(vm).is_some_and(|host| host.silent);
         let (outcome, at) = if silent {
             // The caller's own limit ends its wait.
             (KvOutcome::Unknown, self.now + SILENT_CALL)
@@ -167,9 +167,9 @@
     pub(super) fn lag(&self, vm: usize, outcome: &KvOutcome) -> Span {
         let leadership = |change: &Change| matches!(change.value, Some(EntryValue::Holder(_)));
         match outcome {
-            KvOutcome::Written(_) => self.hosts[vm].store_lag,
+            KvOutcome::Written(_) => self.vms[vm].store_lag,
             KvOutcome::Watched(changes, _) if changes.iter().any(leadership) => {
-                self.hosts[vm].store_lag
+                self.vms[vm].store_lag
             }
             _ => Span::ZERO,
         }
@@ -306,7 +306,7 @@
 
     pub(super) fn deliver(&mut self, vm: usize, event: Event) {
         let now = self.now;
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         if host.frozen.is_some_and(|until| until > now) {
             host.backlog.push(event);
             return;
@@ -324,13 +324,13 @@
     /// A VM's processor takes an event up.
     fn handle(&mut self, vm: usize, event: Event) {
         let now = self.now;
-        if self.hosts[vm].gateway.is_none() {
+        if self.vms[vm].gateway.is_none() {
             return;
         }
         self.record(vm, &event);
         let mut effects = Vec::new();
-        let (each, run) = self.hosts[vm].work;
-        let gateway = self.hosts[vm].gateway.as_mut().expect("it runs");
+        let (each, run) = self.vms[vm].work;
+        let gateway = self.vms[vm].gateway.as_mut().expect("it runs");
         gateway.step(now, event, &mut effects);
         let faults = gateway.verify();
         assert!(faults.is_empty(), "at {now}: {faults:?}");
@@ -346,13 +346,13 @@
         for effect in effects {
             self.perform(vm, effect);
         }
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         if took > Span::ZERO {
             host.taken = now + took;
             let (at, start) = (host.taken, host.start);
             self.at(at, Act::Free(vm, start));
         }
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         if wake < host.wake && wake != Instant::NEVER {
             host.wake = wake;
             let start = host.start;
@@ -385,7 +385,7 @@
     }
 
     pub(super) fn perform(&mut self, vm: usize, effect: Effect) {
-        let (now, start, net) = (self.now, self.hosts[vm].start, self.hosts[vm].net);
+        let (now, start, net) = (self.now, self.vms[vm].start, self.vms[vm].net);
         match effect {
             Effect::Request(number, NextStep::Attempt(send)) if net => {
                 self.at(now + WAY, Act::Arrive(vm, start, number, *send));
@@ -421,7 +421,7 @@
             Effect::SendMessage(address, _, message) => {
                 self.messages += 1;
                 *self.sent.entry(message.kind()).or_default() += 1;
-                let to = (0..self.hosts.len()).find(|to| setup::address(1, *to) == address);
+                let to = (0..self.vms.len()).find(|to| setup::address(1, *to) == address);
                 if let Some(to) = to.filter(|_| net) {
                     self.at(now + WAY, Act::Peer(vm, to, message));
                 }
@@ -435,9 +435,9 @@
 
     /// Sends an order. A late one gets no answer, and is carried out seconds later.
     pub(super) fn send_order(&mut self, vm: usize, id: u64, server: Server, order: Order) {
-        let (now, start) = (self.now, self.hosts[vm].start);
+        let (now, start) = (self.now, self.vms[vm].start);
         let late = self.rng.random_range(0.0..1.0) < self.late_orders;
-        if late || !self.hosts[vm].net {
+        if late || !self.vms[vm].net {
             self.at(
                 now + order.answer_timeout,
                 Act::Event(vm, start, Event::OrderAnswered(id, OrderOutcome::Unknown)),
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -135,7 +135,7 @@
         if matches!(event, Event::AnswerCompleted(..)) {
             self.running.remove(&number);
         }
-        if self.hosts[vm].start == start {
+        if self.vms[vm].start == start {
             self.deliver(vm, event);
         }
     }
@@ -144,13 +144,13 @@
     pub(super) fn probe(&mut self, vm: usize, server: Server) {
         self.probes += 1;
         let up = self.servers.get(&server).is_some_and(|(e, _)| e.up);
-        let (presence, after) = match self.hosts[vm].net {
+        let (presence, after) = match self.vms[vm].net {
             true if up => (ProbeResult::Listens, WAY.times(2)),
             true => (ProbeResult::Refuses, WAY.times(2)),
             false => (ProbeResult::Silent, Span::from_millis(400)),
         };
         let event = Event::Probed(server, presence);
-        let start = self.hosts[vm].start;
+        let start = self.vms[vm].start;
         self.at(self.now + after, Act::Event(vm, start, event));
     }
 
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -106,7 +106,7 @@
     /// Something reaches a server from a VM.
     pub(super) fn reached(&mut self, vm: usize, server: &Server, request: bool) {
         if self.notices.says.contains_key(server) {
-            let start = self.hosts[vm].start;
+            let start = self.vms[vm].start;
             let key = (vm, start, server.clone());
             let told = self.notices.told.get(&key);
             self.notices.arrivals.push(Arrival {
@@ -189,14 +189,14 @@
             Some(last) => *last <= sent,
             None => !notice.is_empty(),
         };
-        if told && self.hosts[vm].start == start {
+        if told && self.vms[vm].start == start {
             self.deliver(vm, Event::NoticeReceived(server, notice));
         }
     }
 
     /// A VM wants all answers of a server told, or only those that say something of it.
     pub(super) fn track(&mut self, vm: usize, server: Server, all: bool) {
-        let key = (vm, self.hosts[vm].start, server);
+        let key = (vm, self.vms[vm].start, server);
         if all {
             self.notices.tracked.entry(key).or_insert(self.now);
         } else {
