--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -79,7 +79,7 @@
 #[test]
 fn key_unknowntoalatevmisnotrefusedforgood() {
     let mut world = warm();
-    world.vms[3].store = false;
+    world.vms[3].store_reachable = false;
     world.vms[3].peers = false;
     world.run(Span::from_secs(3));
     let mut now = accounts();
@@ -145,8 +145,8 @@
 #[test]
 fn keys_changeeverywhere() {
     let mut world = warm();
-    world.vms[2].store = false;
-    world.vms[5].store = false;
+    world.vms[2].store_reachable = false;
+    world.vms[5].store_reachable = false;
     let moved = vec![
         account("north", &["key-n1"], 0),
         account("south", &["key-s2", "key-n2"], 0),
@@ -182,7 +182,7 @@
         world.kill(vm, false);
         world.run(Span::from_secs(1));
         if vm % 2 == 0 {
-            world.vms[vm].store = false;
+            world.vms[vm].store_reachable = false;
         }
     }
     world.run(Span::from_secs(3));
@@ -249,7 +249,7 @@
                     ..with(version)
                 }),
                 2 => world.kill(usize::from(*step) % 3, false),
-                3 => world.vms[usize::from(*step) % 3].store ^= true,
+                3 => world.vms[usize::from(*step) % 3].store_reachable ^= true,
                 _ => {
                     world.ask(usize::from(*step) % 3, call("r", &secret));
                 }
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -100,7 +100,7 @@
         let mut away: Vec<usize> = world.store.watched_by.iter().copied().collect();
         away.extend((0..vms).filter(|vm| vm % 3 == 0));
         for vm in &away {
-            world.vms[*vm].store = false;
+            world.vms[*vm].store_reachable = false;
         }
         world.wake_watchers();
         world.configure(config(9));
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -102,7 +102,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.vms[*vm].store = false;
+        world.vms[*vm].store_reachable = false;
     }
     world.wake_watchers();
     world.configure(config(9));
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -94,7 +94,7 @@
 fn holder_cutofffromstoreyields() {
     let mut world = warm();
     let old = world.holder().expect("a holder");
-    world.vms[old].store = false;
+    world.vms[old].store_reachable = false;
     world.wake_watchers();
     let numbers = world.quiet_night(Span::from_secs(6));
     assert_ne!(world.holder(), Some(old));
@@ -275,12 +275,15 @@
     for step in 0..500_u64 {
         let holder = world.holder();
         if step % 20 == 10 {
-            world.vms.iter_mut().for_each(|host| host.store = true);
+            world
+                .vms
+                .iter_mut()
+                .for_each(|host| host.store_reachable = true);
         }
         if step % 20 == 0 && step < 200 {
             // Its way to the key-value service is cut for a moment, so that another VM takes the leadership.
             if let Some(vm) = holder {
-                world.vms[vm].store = false;
+                world.vms[vm].store_reachable = false;
             }
             world.store.remove(&EntryKey::Holder(name(ENGINES)));
             world.wake_watchers();
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -71,7 +71,7 @@
 fn holder_unfencedstopsbeforeitsleaseends() {
     let mut world = unfenced();
     let old = world.holder().expect("a holder");
-    world.vms[old].store = false;
+    world.vms[old].store_reachable = false;
     world.vms[old].peers = false;
     world.wake_watchers();
     let mut gone = None;
@@ -196,7 +196,7 @@
                 2 => world.store.expire(Instant::NEVER),
                 3 => world.kill(vm, false),
                 4 => world.freeze(vm, Span::from_millis(1_500)),
-                5 => world.vms[vm].store = !world.vms[vm].store,
+                5 => world.vms[vm].store_reachable = !world.vms[vm].store_reachable,
                 6 => world.vms[vm].peers = !world.vms[vm].peers,
                 7 => world.vms[vm].silent = !world.vms[vm].silent,
                 _ => {}
@@ -217,7 +217,7 @@
     for cut in [1_400, 1_600, 1_800, 2_000, 2_200] {
         let mut world = unfenced();
         let old = world.holder().expect("a holder");
-        world.vms[old].store = false;
+        world.vms[old].store_reachable = false;
         world.wake_watchers();
         world.quiet_night(Span::from_millis(cut));
         world.vms[old].peers = false;
@@ -238,7 +238,7 @@
         world.store_up = false;
         world.wake_watchers();
         world.quiet_night(Span::from_millis(3_000 + apart));
-        world.vms[old].store = false;
+        world.vms[old].store_reachable = false;
         world.vms[old].peers = false;
         world.store.remove(&EntryKey::Holder(name(ENGINES)));
         world.store_up = true;
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -141,11 +141,11 @@
             }
             5 => {
                 self.world.revoke(vm);
-                (length, |world, vm| world.vms[vm].store = true)
+                (length, |world, vm| world.vms[vm].store_reachable = true)
             }
             6 => {
-                self.world.vms[vm].store = false;
-                (length, |world, vm| world.vms[vm].store = true)
+                self.world.vms[vm].store_reachable = false;
+                (length, |world, vm| world.vms[vm].store_reachable = true)
             }
             _ => {
                 self.world.vms[vm].silent = true;
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -97,7 +97,7 @@
     /// What came while it stood still.
     backlog: Vec<Event>,
     /// Whether it reaches the key-value service.
-    pub store: bool,
+    pub store_reachable: bool,
     /// How much it can do for others.
     pub strength: u32,
     /// Whether the key-value service leaves its calls without an answer.
@@ -294,7 +294,7 @@
                 start: 0,
                 frozen: None,
                 backlog: Vec::new(),
-                store: true,
+                store_reachable: true,
                 silent: false,
                 peers: true,
                 side: 0,
@@ -442,7 +442,7 @@
 
     /// The key-value service turns a VM away and takes away what it wrote.
     pub fn revoke(&mut self, vm: usize) {
-        self.vms[vm].store = false;
+        self.vms[vm].store_reachable = false;
         self.store
             .remove(&EntryKey::Member(name(&format!("vm{vm}"))));
         if self.holder() == Some(vm) {
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -119,7 +119,7 @@
             self.at(self.now + SILENT_CALL, Act::Event(vm, start, event));
             return;
         }
-        let reached = self.store_up && self.vms[vm].store;
+        let reached = self.store_up && self.vms[vm].store_reachable;
         let outcome = if reached {
             self.store.call(self.now, vm, op, call)
         } else {
@@ -142,7 +142,7 @@
             return;
         }
         for (vm, op, outcome) in self.store.wake(self.now) {
-            let outcome = if self.vms[vm].store {
+            let outcome = if self.vms[vm].store_reachable {
                 outcome
             } else {
                 KvOutcome::Unknown
