--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -80,7 +80,7 @@
 fn key_unknowntoalatevmisnotrefusedforgood() {
     let mut world = warm();
     world.vms[3].store_reachable = false;
-    world.vms[3].peers = false;
+    world.vms[3].peers_reachable = false;
     world.run(Span::from_secs(3));
     let mut now = accounts();
     now.push(account("west", &["key-w1"], 0));
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -198,13 +198,13 @@
     let mut world = warm();
     world.store_up = false;
     world.wake_watchers();
-    world.vms[5].peers = false;
+    world.vms[5].peers_reachable = false;
     for at in 0..10 {
         let crashing = crashing(&mut world, "/plan/crash", at);
         world.ask(at % 5, crashing);
         world.quiet_night(REPEATED);
     }
-    world.vms[5].peers = true;
+    world.vms[5].peers_reachable = true;
     world.run(Span::from_secs(2));
     let ends = world.crashing.ends.len();
     for at in 10..20 {
@@ -238,7 +238,7 @@
     let mut world = warm();
     repeat(&mut world, "/query/crash", 2);
     for vm in 0..6 {
-        world.vms[vm].peers = vm % 2 == 0;
+        world.vms[vm].peers_reachable = vm % 2 == 0;
     }
     repeat(&mut world, "/query/crash", 25);
     check(&world, "/query/crash");
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -182,11 +182,11 @@
         let holder = world.holder().unwrap_or(round);
         match round {
             0 => world.freeze(holder, Span::from_secs(2)),
-            1 => world.vms[holder].peers = false,
+            1 => world.vms[holder].peers_reachable = false,
             _ => world.kill(holder, false),
         }
         world.busy_night(Span::from_secs(4));
-        world.vms[holder].peers = true;
+        world.vms[holder].peers_reachable = true;
     }
     check(&world, "e3", BOUND);
 }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -172,13 +172,13 @@
             match round {
                 0 => world.kill(holder, false),
                 1 => world.freeze(holder, Span::from_secs(2)),
-                2 => world.vms[holder].peers = false,
+                2 => world.vms[holder].peers_reachable = false,
                 _ => world.store_up = false,
             }
         }
         world.busy_night(Span::from_secs(4));
         for host in &mut world.vms {
-            host.peers = true;
+            host.peers_reachable = true;
         }
     }
     world.store_up = true;
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -72,7 +72,7 @@
     let mut world = unfenced();
     let old = world.holder().expect("a holder");
     world.vms[old].store_reachable = false;
-    world.vms[old].peers = false;
+    world.vms[old].peers_reachable = false;
     world.wake_watchers();
     let mut gone = None;
     for at in 0..400_u32 {
@@ -197,7 +197,7 @@
                 3 => world.kill(vm, false),
                 4 => world.freeze(vm, Span::from_millis(1_500)),
                 5 => world.vms[vm].store_reachable = !world.vms[vm].store_reachable,
-                6 => world.vms[vm].peers = !world.vms[vm].peers,
+                6 => world.vms[vm].peers_reachable = !world.vms[vm].peers_reachable,
                 7 => world.vms[vm].silent = !world.vms[vm].silent,
                 _ => {}
             }
@@ -220,7 +220,7 @@
         world.vms[old].store_reachable = false;
         world.wake_watchers();
         world.quiet_night(Span::from_millis(cut));
-        world.vms[old].peers = false;
+        world.vms[old].peers_reachable = false;
         cold_everywhere(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
         one_at_a_time(&world);
@@ -239,7 +239,7 @@
         world.wake_watchers();
         world.quiet_night(Span::from_millis(3_000 + apart));
         world.vms[old].store_reachable = false;
-        world.vms[old].peers = false;
+        world.vms[old].peers_reachable = false;
         world.store.remove(&EntryKey::Holder(name(ENGINES)));
         world.store_up = true;
         world.wake_watchers();
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -157,11 +157,11 @@
         match round {
             0 => world.kill(holder, false),
             1 => world.freeze(holder, Span::from_secs(2)),
-            2 => world.vms[holder].peers = false,
+            2 => world.vms[holder].peers_reachable = false,
             _ => world.store_up = false,
         }
         world.busy_night(Span::from_secs(4));
-        world.vms[holder].peers = true;
+        world.vms[holder].peers_reachable = true;
     }
     check(&world, "e0");
     check(&world, "e5");
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -132,8 +132,8 @@
                 (Span::from_millis(2_500), |world, vm| world.kill(vm, false))
             }
             3 => {
-                self.world.vms[vm].peers = false;
-                (length, |world, vm| world.vms[vm].peers = true)
+                self.world.vms[vm].peers_reachable = false;
+                (length, |world, vm| world.vms[vm].peers_reachable = true)
             }
             4 => {
                 self.world.vms[vm].net = false;
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -105,7 +105,7 @@
     /// How much longer the key-value service's answers take to it that say that it holds the leadership.
     pub store_lag: Span,
     /// Whether it reaches other VMs.
-    pub peers: bool,
+    pub peers_reachable: bool,
     /// VMs of different sides don't reach each other.
     pub side: u8,
     /// Whether it reaches other VMs and servers.
@@ -296,7 +296,7 @@
                 backlog: Vec::new(),
                 store_reachable: true,
                 silent: false,
-                peers: true,
+                peers_reachable: true,
                 side: 0,
                 store_lag: Span::ZERO,
                 net: true,
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -72,7 +72,7 @@
             }
             Act::Peer(from, to, message) => {
                 let sender: Vm = name(&format!("vm{from}"));
-                let linked = self.vms[to].peers && self.vms[from].peers;
+                let linked = self.vms[to].peers_reachable && self.vms[from].peers_reachable;
                 let linked = linked && self.vms[to].side == self.vms[from].side;
                 if linked && self.vms[to].net && self.vms[to].gateway.is_some() {
                     self.deliver(to, Event::PeerMessage(sender, message));
