--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -155,7 +155,7 @@
 fn crashing_withvmslost() {
     let kill = |world: &mut World, vm: usize| world.kill(vm, false);
     let freeze = |world: &mut World, vm: usize| world.freeze(vm, Span::from_secs(4));
-    let cut = |world: &mut World, vm: usize| world.vms[vm].net = false;
+    let cut = |world: &mut World, vm: usize| world.vms[vm].network_up = false;
     let faults: [fn(&mut World, usize); 3] = [kill, freeze, cut];
     for (at, fault) in faults.into_iter().enumerate() {
         for after in [1, 2, 3] {
@@ -168,7 +168,7 @@
             };
             fault(&mut world, vm);
             repeat(&mut world, "/plan/crash", 6);
-            world.vms[vm].net = true;
+            world.vms[vm].network_up = true;
             repeat(&mut world, "/plan/crash", 25);
             check(&world, "/plan/crash");
         }
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -264,10 +264,10 @@
         match round % 3 {
             0 => load.world.kill(vm, false),
             1 => load.world.freeze(vm, Span::from_millis(1_500)),
-            _ => load.world.vms[vm].net = false,
+            _ => load.world.vms[vm].network_up = false,
         }
         load.run(Span::from_secs(2));
-        load.world.vms[vm].net = true;
+        load.world.vms[vm].network_up = true;
     }
     let end = load.world.now;
     load.world.run(Span::from_secs(1));
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -136,8 +136,8 @@
                 (length, |world, vm| world.vms[vm].peers_reachable = true)
             }
             4 => {
-                self.world.vms[vm].net = false;
-                (length, |world, vm| world.vms[vm].net = true)
+                self.world.vms[vm].network_up = false;
+                (length, |world, vm| world.vms[vm].network_up = true)
             }
             5 => {
                 self.world.revoke(vm);
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -109,7 +109,7 @@
     /// VMs of different sides don't reach each other.
     pub side: u8,
     /// Whether it reaches other VMs and servers.
-    pub net: bool,
+    pub network_up: bool,
     /// The wake-up that is set.
     wake: Instant,
     /// What its processor takes for an event and for a run of a scheduler.
@@ -299,7 +299,7 @@
                 peers_reachable: true,
                 side: 0,
                 store_lag: Span::ZERO,
-                net: true,
+                network_up: true,
                 wake: Instant::NEVER,
                 work: (Span::ZERO, Span::ZERO),
                 taken: Instant::default(),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -74,9 +74,9 @@
                 let sender: Vm = name(&format!("vm{from}"));
                 let linked = self.vms[to].peers_reachable && self.vms[from].peers_reachable;
                 let linked = linked && self.vms[to].side == self.vms[from].side;
-                if linked && self.vms[to].net && self.vms[to].gateway.is_some() {
+                if linked && self.vms[to].network_up && self.vms[to].gateway.is_some() {
                     self.deliver(to, Event::PeerMessage(sender, message));
-                } else if self.vms[from].net {
+                } else if self.vms[from].network_up {
                     let down = Event::PeerDown(setup::address(1, to), LinkFault::Unreachable);
                     self.deliver(from, down);
                 }
@@ -385,7 +385,7 @@
     }
 
     pub(super) fn perform(&mut self, vm: usize, effect: Effect) {
-        let (now, start, net) = (self.now, self.vms[vm].start, self.vms[vm].net);
+        let (now, start, net) = (self.now, self.vms[vm].start, self.vms[vm].network_up);
         match effect {
             Effect::Request(number, NextStep::Attempt(send)) if net => {
                 self.at(now + WAY, Act::Arrive(vm, start, number, *send));
@@ -437,7 +437,7 @@
     pub(super) fn send_order(&mut self, vm: usize, id: u64, server: Server, order: Order) {
         let (now, start) = (self.now, self.vms[vm].start);
         let late = self.rng.random_range(0.0..1.0) < self.late_orders;
-        if late || !self.vms[vm].net {
+        if late || !self.vms[vm].network_up {
             self.at(
                 now + order.answer_timeout,
                 Act::Event(vm, start, Event::OrderAnswered(id, OrderOutcome::Unknown)),
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -144,7 +144,7 @@
     pub(super) fn probe(&mut self, vm: usize, server: Server) {
         self.probes += 1;
         let up = self.servers.get(&server).is_some_and(|(e, _)| e.up);
-        let (presence, after) = match self.vms[vm].net {
+        let (presence, after) = match self.vms[vm].network_up {
             true if up => (ProbeResult::Listens, WAY.times(2)),
             true => (ProbeResult::Refuses, WAY.times(2)),
             false => (ProbeResult::Silent, Span::from_millis(400)),
