--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -143,7 +143,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.vms[*vm].silent = true;
+        world.vms[*vm].store_silent = true;
     }
     world.configure(config(9));
     world.run(Span::from_millis(1_900));
@@ -212,7 +212,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.vms[*vm].silent = true;
+        world.vms[*vm].store_silent = true;
     }
     let calls = world.store.calls;
     churn(&mut world, Span::from_secs(4));
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -338,9 +338,9 @@
     }
     world.run(Span::from_millis(300));
     world.kill(vm, false);
-    world.vms[vm].silent = true;
+    world.vms[vm].store_silent = true;
     world.run(Span::from_secs(1));
-    world.vms[vm].silent = false;
+    world.vms[vm].store_silent = false;
     world.run(Span::from_secs(3));
     let states = world.lines.iter().rev();
     let mut states = states.filter(|line| line.contains("SchedulerState"));
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -198,7 +198,7 @@
                 4 => world.freeze(vm, Span::from_millis(1_500)),
                 5 => world.vms[vm].store_reachable = !world.vms[vm].store_reachable,
                 6 => world.vms[vm].peers_reachable = !world.vms[vm].peers_reachable,
-                7 => world.vms[vm].silent = !world.vms[vm].silent,
+                7 => world.vms[vm].store_silent = !world.vms[vm].store_silent,
                 _ => {}
             }
             world.wake_watchers();
@@ -309,9 +309,9 @@
     world.run(Span::from_secs(4));
     assert_eq!(world.holder(), Some(2));
     for _ in 0..3 {
-        world.vms[2].silent = true;
+        world.vms[2].store_silent = true;
         world.quiet_night(Span::from_millis(3_200));
-        world.vms[2].silent = false;
+        world.vms[2].store_silent = false;
         world.quiet_night(Span::from_millis(500));
     }
     assert_eq!(world.holder(), Some(1));
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -148,8 +148,8 @@
                 (length, |world, vm| world.vms[vm].store_reachable = true)
             }
             _ => {
-                self.world.vms[vm].silent = true;
-                (length, |world, vm| world.vms[vm].silent = false)
+                self.world.vms[vm].store_silent = true;
+                (length, |world, vm| world.vms[vm].store_silent = false)
             }
         };
         self.troubled[vm] = self.world.now;
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -101,7 +101,7 @@
     /// How much it can do for others.
     pub strength: u32,
     /// Whether the key-value service leaves its calls without an answer.
-    pub silent: bool,
+    pub store_silent: bool,
     /// How much longer the key-value service's answers take to it that say that it holds the leadership.
     pub store_lag: Span,
     /// Whether it reaches other VMs.
@@ -295,7 +295,7 @@
                 frozen: None,
                 backlog: Vec::new(),
                 store_reachable: true,
-                silent: false,
+                store_silent: false,
                 peers_reachable: true,
                 side: 0,
                 store_lag: Span::ZERO,
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: KvOperation) {
-        if self.vms[vm].silent {
+        if self.vms[vm].store_silent {
             let event = Event::KvAnswered(op, KvOutcome::Unknown);
             self.at(self.now + SILENT_CALL, Act::Event(vm, start, event));
             return;
@@ -153,7 +153,7 @@
 
     pub(super) fn answer_store(&mut self, vm: usize, op: u64, outcome: KvOutcome) {
         let start = self.vms.get(vm).map_or(0, |host| host.start);
-        let silent = self.vms.get(vm).is_some_and(|host| host.silent);
+        let silent = self.vms.get(vm).is_some_and(|host| host.store_silent);
         let (outcome, at) = if silent {
             // The caller's own limit ends its wait.
             (KvOutcome::Unknown, self.now + SILENT_CALL)
