--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -221,13 +221,13 @@
     load.run(Span::from_secs(4));
     let begin = load.world.now;
     for vm in 0..23 {
-        load.world.vms[vm].side = 1;
+        load.world.vms[vm].partition = 1;
         load.world.vms[vm].store_reachable = false;
     }
     load.run(Span::from_secs(12));
     let end = load.world.now;
     for vm in 0..23 {
-        load.world.vms[vm].side = 0;
+        load.world.vms[vm].partition = 0;
         load.world.vms[vm].store_reachable = true;
     }
     load.run(Span::from_secs(6));
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -107,7 +107,7 @@
     /// Whether it reaches other VMs.
     pub peers_reachable: bool,
     /// VMs of different sides don't reach each other.
-    pub side: u8,
+    pub partition: u8,
     /// Whether it reaches other VMs and servers.
     pub network_up: bool,
     /// The wake-up that is set.
@@ -297,7 +297,7 @@
                 store_reachable: true,
                 store_silent: false,
                 peers_reachable: true,
-                side: 0,
+                partition: 0,
                 store_lag: Span::ZERO,
                 network_up: true,
                 wake: Instant::NEVER,
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -73,7 +73,7 @@
             Act::Peer(from, to, message) => {
                 let sender: Vm = name(&format!("vm{from}"));
                 let linked = self.vms[to].peers_reachable && self.vms[from].peers_reachable;
-                let linked = linked && self.vms[to].side == self.vms[from].side;
+                let linked = linked && self.vms[to].partition == self.vms[from].partition;
                 if linked && self.vms[to].network_up && self.vms[to].gateway.is_some() {
                     self.deliver(to, Event::PeerMessage(sender, message));
                 } else if self.vms[from].network_up {
