--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -18,7 +18,7 @@
     let mut world = World::new(6, 8, 1);
     world.run(Span::from_secs(2));
     let holder = world.holder().expect("a holder");
-    world.vms[holder].work = work;
+    world.vms[holder].cpu_cost = work;
     world
 }
 
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -89,7 +89,7 @@
 fn strong_backgetstheseat() {
     let mut world = fleet();
     for host in &mut world.vms[STRONG..] {
-        host.work = (Span(200), Span::from_millis(20));
+        host.cpu_cost = (Span(200), Span::from_millis(20));
     }
     for vm in 0..STRONG {
         world.kill(vm, true);
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -60,7 +60,7 @@
         if seed % 2 == 1 {
             for (vm, host) in world.vms.iter_mut().enumerate() {
                 let each = if vm < STRONG { 100 } else { 400 };
-                host.work = (Span(each), Span(each * 5));
+                host.cpu_cost = (Span(each), Span(each * 5));
             }
         }
         world.run(Span::from_secs(8));
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -113,7 +113,7 @@
     /// The wake-up that is set.
     wake: Instant,
     /// What its processor takes for an event and for a run of a scheduler.
-    pub work: (Span, Span),
+    pub cpu_cost: (Span, Span),
     /// Until when its processor is taken, and the events that wait for it.
     taken: Instant,
     queue: std::collections::VecDeque<Event>,
@@ -301,7 +301,7 @@
                 store_lag: Span::ZERO,
                 network_up: true,
                 wake: Instant::NEVER,
-                work: (Span::ZERO, Span::ZERO),
+                cpu_cost: (Span::ZERO, Span::ZERO),
                 taken: Instant::default(),
                 queue: std::collections::VecDeque::new(),
             });
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -329,7 +329,7 @@
         }
         self.record(vm, &event);
         let mut effects = Vec::new();
-        let (each, run) = self.vms[vm].work;
+        let (each, run) = self.vms[vm].cpu_cost;
         let gateway = self.vms[vm].gateway.as_mut().expect("it runs");
         gateway.step(now, event, &mut effects);
         let faults = gateway.verify();
