--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -245,7 +245,7 @@
     let mut late_held = 0;
     for late in 0..2 {
         let mut world = World::new(2, 2, 1);
-        world.vms[late].store_lag = Span::from_millis(150);
+        world.vms[late].store_delay = Span::from_millis(150);
         while world.holder().is_none() {
             world.run(Span::from_millis(1));
         }
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -103,7 +103,7 @@
     /// Whether the key-value service leaves its calls without an answer.
     pub store_silent: bool,
     /// How much longer the key-value service's answers take to it that say that it holds the leadership.
-    pub store_lag: Span,
+    pub store_delay: Span,
     /// Whether it reaches other VMs.
     pub peers_reachable: bool,
     /// VMs of different sides don't reach each other.
@@ -298,7 +298,7 @@
                 store_silent: false,
                 peers_reachable: true,
                 partition: 0,
-                store_lag: Span::ZERO,
+                store_delay: Span::ZERO,
                 network_up: true,
                 wake: Instant::NEVER,
                 cpu_cost: (Span::ZERO, Span::ZERO),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -167,9 +167,9 @@
     pub(super) fn lag(&self, vm: usize, outcome: &KvOutcome) -> Span {
         let leadership = |change: &Change| matches!(change.value, Some(EntryValue::Holder(_)));
         match outcome {
-            KvOutcome::Written(_) => self.vms[vm].store_lag,
+            KvOutcome::Written(_) => self.vms[vm].store_delay,
             KvOutcome::Watched(changes, _) if changes.iter().any(leadership) => {
-                self.vms[vm].store_lag
+                self.vms[vm].store_delay
             }
             _ => Span::ZERO,
         }
