--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -56,7 +56,7 @@
     ] {
         let number = world.ask(0, call("r", text));
         world.run(Span::from_millis(500));
-        let told = &world.asked[&number].accounts;
+        let told = &world.requests[&number].accounts;
         assert_eq!(told, &vec![Some(name(account))], "{text}");
     }
 }
@@ -116,7 +116,7 @@
     );
     world.run(Span::from_millis(500));
     assert!(matches!(world.answer(number), Some(Answer::Served(_))));
-    assert_eq!(world.asked[&number].accounts, vec![None]);
+    assert_eq!(world.requests[&number].accounts, vec![None]);
 }
 
 fn public(route: &Route) -> Arc<Route> {
@@ -163,7 +163,7 @@
         let number = world.ask(vm, call("r", "key-n2"));
         world.run(Span::from_millis(500));
         assert_eq!(
-            world.asked[&number].accounts,
+            world.requests[&number].accounts,
             vec![Some(name("south"))],
             "vm{vm}"
         );
@@ -212,7 +212,7 @@
     };
     let number = world.ask(0, draft);
     world.run(Span::from_secs(3));
-    assert_eq!(world.asked[&number].priorities, vec![7]);
+    assert_eq!(world.requests[&number].priorities, vec![7]);
 }
 
 /// What can't be a key is none.
@@ -256,7 +256,7 @@
             }
             world.run(Span::from_millis(300));
         }
-        let calls = format!("{:?} {:?}", world.asked, with(1));
+        let calls = format!("{:?} {:?}", world.requests, with(1));
         let bytes = postcard::to_stdvec(&with(1)).expect("bytes");
         let in_bytes = bytes.windows(secret.len()).any(|w| w == secret.as_bytes());
         !in_bytes && !calls.contains(&secret) && !world.lines.iter().any(|l| l.contains(&secret))
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -16,7 +16,7 @@
 
 /// Sends beyond the first of each request, over the given requests.
 fn repeats(world: &World, numbers: &[u64]) -> u32 {
-    let arrivals = numbers.iter().map(|n| world.asked[n].arrivals);
+    let arrivals = numbers.iter().map(|n| world.requests[n].arrivals);
     arrivals.map(|arrivals| arrivals.saturating_sub(1)).sum()
 }
 
--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -98,7 +98,7 @@
     let number = world.ask(0, call("a", "/query/x", 4_000, None));
     world.leave(number);
     world.run(Span::from_secs(2));
-    assert_eq!(world.asked[&number].arrivals, 0);
+    assert_eq!(world.requests[&number].arrivals, 0);
     world.check();
 }
 
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -162,10 +162,10 @@
         series.world.run(Span::from_secs(2));
         let ran = asked
             .iter()
-            .filter(|(n, _, _)| !series.world.asked[n].runs.is_empty());
+            .filter(|(n, _, _)| !series.world.requests[n].runs.is_empty());
         assert!(ran.count() > 50, "seed {seed}: hardly any request ran");
         for (request, vm, number) in asked {
-            let asked = &series.world.asked[&request];
+            let asked = &series.world.requests[&request];
             let holders = holders_inforce(&written, asked.at, number);
             let told = asked.accounts.first().cloned().flatten();
             let names = holders
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -72,7 +72,7 @@
 /// That only requests that crash servers are refused for that.
 fn check_others(world: &World) {
     let guilty = &world.crashing.fingerprints;
-    for asked in world.asked.values() {
+    for asked in world.requests.values() {
         let refused = matches!(
             asked.ended,
             Some((_, Answer::Refused(RefusalReason::Quarantined, _)))
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -69,7 +69,7 @@
     let from = world.now;
     traffic(&mut world, Span::from_secs(4));
     let id: Server = support::setup::name("e1");
-    let runs = world.asked.values().flat_map(|a| &a.runs);
+    let runs = world.requests.values().flat_map(|a| &a.runs);
     assert!(
         runs.filter(|(at, server)| *at > from && *server == id)
             .count()
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -84,7 +84,7 @@
     world.run(Span::from_secs(6));
     let others: Vec<u64> = numbers
         .into_iter()
-        .filter(|n| world.asked[n].vm != old)
+        .filter(|n| world.requests[n].vm != old)
         .collect();
     world.check_served(&others, 95);
     world.check();
@@ -177,7 +177,7 @@
     world.run(Span::from_secs(5));
     let mine: Vec<u64> = numbers
         .into_iter()
-        .filter(|n| world.asked[n].vm == vm)
+        .filter(|n| world.requests[n].vm == vm)
         .collect();
     assert_eq!(world.served_of(&mine), mine.len());
     assert!(world.first_piece(cold).expect("served") < Span::from_millis(700));
@@ -195,7 +195,7 @@
     world.run(Span::from_secs(5));
     let mine: Vec<u64> = numbers
         .into_iter()
-        .filter(|n| world.asked[n].vm == vm)
+        .filter(|n| world.requests[n].vm == vm)
         .collect();
     assert_eq!(world.served_of(&mine), mine.len());
     world.check();
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -111,7 +111,7 @@
     assert_eq!(world.served_of(&numbers), numbers.len());
     world.check();
     let fetches = world.servers.values().map(|(engine, _)| engine.fetches);
-    let arrivals = numbers.iter().map(|number| world.asked[number].arrivals);
+    let arrivals = numbers.iter().map(|number| world.requests[number].arrivals);
     let early = arrivals.filter(|arrivals| *arrivals > 1).count();
     (fetches.sum(), early)
 }
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -102,7 +102,7 @@
     world.run(Span::from_secs(5));
     let id: Server = support::setup::name("e2");
     let late = world
-        .asked
+        .requests
         .values()
         .flat_map(|a| &a.runs)
         .filter(|(at, server)| *at > from && *server == id)
@@ -123,6 +123,6 @@
     world.name_version("a1", 3);
     world.run(Span::from_millis(100));
     let number = warm(&mut world, "new");
-    assert_eq!(world.asked[&number].versions, vec![(3, 3)]);
+    assert_eq!(world.requests[&number].versions, vec![(3, 3)]);
     world.check();
 }
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -286,7 +286,7 @@
     load.callers[10].times = FLOOD * 10.0;
     load.configure();
     load.run(Span::from_secs(2));
-    load.world.asked.clear();
+    load.world.requests.clear();
     load.run(Span::from_secs(12));
     load.check();
 }
@@ -310,7 +310,7 @@
     load.flood(&[10]);
     load.run(Span::from_secs(6));
     let mut returns: Vec<u64> = Vec::new();
-    for asked in load.world.asked.values() {
+    for asked in load.world.requests.values() {
         if let Some((at, support::Answer::Refused(_, Some(after)))) = &asked.ended {
             assert!(
                 at.since(asked.at) < Span::from_millis(400),
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -69,7 +69,7 @@
     }
     let away = turned_away(&world, since);
     assert!(away <= 80, "{away} turned away in 9 s");
-    let often = asked.iter().filter(|n| world.asked[n].arrivals > 2);
+    let often = asked.iter().filter(|n| world.requests[n].arrivals > 2);
     assert!(
         often.count() <= 5,
         "requests were turned away again and again"
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -24,7 +24,7 @@
 
 /// Arrivals at servers of these requests beyond the first of each.
 fn again(world: &World, numbers: &[u64]) -> u32 {
-    let arrivals = numbers.iter().map(|number| world.asked[number].arrivals);
+    let arrivals = numbers.iter().map(|number| world.requests[number].arrivals);
     arrivals.map(|arrivals| arrivals.saturating_sub(1)).sum()
 }
 
@@ -217,7 +217,9 @@
     let (all, good) = (numbers.len(), world.served_of(&numbers));
     assert!(good * 100 >= all * 95, "{good} of {all}");
     assert_eq!(world.served_of(&last), last.len());
-    let ran = last.iter().flat_map(|number| &world.asked[number].versions);
+    let ran = last
+        .iter()
+        .flat_map(|number| &world.requests[number].versions);
     assert!(ran.clone().count() > 0 && ran.clone().all(|(_, ran)| *ran == 21));
     world.check();
 }
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -80,7 +80,7 @@
 pub fn worst_window(world: &World, account: &str) -> f64 {
     let account: Tenant = name(account);
     let mut runs: Vec<(Instant, f64)> = Vec::new();
-    for asked in world.asked.values() {
+    for asked in world.requests.values() {
         for ((at, _), named) in asked.runs.iter().zip(&asked.accounts) {
             if named.as_ref() == Some(&account) {
                 runs.push((*at, asked.call.tokens.unwrap_or(Tokens(200)).as_f64()));
@@ -104,7 +104,7 @@
 pub fn shares(world: &World, from: Instant, until: Instant) -> BTreeMap<String, (usize, usize)> {
     let mut shares: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     let sent = world
-        .asked
+        .requests
         .values()
         .filter(|a| a.at >= from && a.at < until);
     for asked in sent {
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -63,7 +63,7 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// What it asked.
     pub call: CallerRequest,
     /// The VM.
@@ -170,7 +170,7 @@
     /// Connections that VMs made to see whether a server takes any.
     pub probes: u64,
     /// The requests, by number.
-    pub asked: BTreeMap<u64, Asked>,
+    pub requests: BTreeMap<u64, RequestRecord>,
     /// The log lines.
     pub lines: Vec<String>,
     /// Messages that VMs sent to each other.
@@ -266,7 +266,7 @@
             running: BTreeMap::new(),
             fallen: 0,
             probes: 0,
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             lines: Vec::new(),
             messages: 0,
             sent: BTreeMap::new(),
@@ -424,7 +424,7 @@
     pub fn kill(&mut self, vm: usize, for_good: bool) {
         self.vms[vm].gateway = None;
         for asked in self
-            .asked
+            .requests
             .values_mut()
             .filter(|a| a.vm == vm && a.ended.is_none())
         {
@@ -462,9 +462,9 @@
     pub fn ask(&mut self, vm: usize, call: CallerRequest) -> u64 {
         self.seq += 1;
         let number = self.seq;
-        self.asked.insert(
+        self.requests.insert(
             number,
-            Asked {
+            RequestRecord {
                 call: call.clone(),
                 vm,
                 at: self.now,
@@ -477,7 +477,8 @@
             },
         );
         if self.vms[vm].gateway.is_none() {
-            self.asked.get_mut(&number).expect("just put").ended = Some((self.now, Answer::Lost));
+            self.requests.get_mut(&number).expect("just put").ended =
+                Some((self.now, Answer::Lost));
         }
         self.deliver(vm, Event::RequestArrived(number, Box::new(call)));
         number
@@ -527,7 +528,7 @@
     /// How long each of these requests was held that was refused.
     pub fn refused_of(&self, numbers: &[u64]) -> Vec<Span> {
         let held = |number: &u64| {
-            let asked = &self.asked[number];
+            let asked = &self.requests[number];
             match &asked.ended {
                 Some((at, Answer::Refused(..))) => Some(at.since(asked.at)),
                 _ => None,
@@ -544,7 +545,7 @@
 
     /// The caller of a request leaves.
     pub fn leave(&mut self, number: u64) {
-        let vm = self.asked[&number].vm;
+        let vm = self.requests[&number].vm;
         self.deliver(vm, Event::CallerLeft(number));
     }
 
@@ -566,12 +567,15 @@
 
     /// The answer to a request, if it is final.
     pub fn answer(&self, number: u64) -> Option<&Answer> {
-        self.asked[&number].ended.as_ref().map(|(_, answer)| answer)
+        self.requests[&number]
+            .ended
+            .as_ref()
+            .map(|(_, answer)| answer)
     }
 
     /// How many requests were served.
     pub fn served(&self) -> usize {
-        self.asked
+        self.requests
             .values()
             .filter(|a| matches!(a.ended, Some((_, Answer::Served(_)))))
             .count()
@@ -591,7 +595,7 @@
 
     /// The time to the first piece of a request, where it was served.
     pub fn first_piece(&self, number: u64) -> Option<Span> {
-        let asked = &self.asked[&number];
+        let asked = &self.requests[&number];
         match &asked.ended {
             Some((_, Answer::Served(begun))) => Some(begun.since(asked.at)),
             _ => None,
@@ -600,7 +604,7 @@
 
     /// All that must always hold, over what the fakes recorded.
     pub fn check(&self) {
-        for (number, asked) in &self.asked {
+        for (number, asked) in &self.requests {
             let idempotent =
                 asked.call.path.starts_with("/query/") || asked.call.path.starts_with("/berth/");
             assert!(
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -212,7 +212,7 @@
         if self.servers.get(&send.server).is_some_and(|(e, _)| e.up) {
             self.reached(vm, &send.server, true);
         }
-        let Some(asked) = self.asked.get_mut(&number) else {
+        let Some(asked) = self.requests.get_mut(&number) else {
             return;
         };
         asked.arrivals += 1;
@@ -279,7 +279,7 @@
                 .unwrap_or(0)
                 .max(self.version_in_force(adapter));
             let ran = self.servers[&send.server].0.slots[adapter].version;
-            self.asked
+            self.requests
                 .get_mut(&number)
                 .expect("asked")
                 .versions
@@ -365,12 +365,12 @@
         let now = self.now;
         match event {
             Event::AnswerStarted(number) => {
-                if let Some(asked) = self.asked.get_mut(number).filter(|a| a.ended.is_none()) {
+                if let Some(asked) = self.requests.get_mut(number).filter(|a| a.ended.is_none()) {
                     asked.ended = Some((now, Answer::Served(now)));
                 }
             }
             Event::AnswerCompleted(number, _) => {
-                if let Some(asked) = self.asked.get_mut(number) {
+                if let Some(asked) = self.requests.get_mut(number) {
                     let begun = match &asked.ended {
                         Some((_, Answer::Served(begun))) => *begun,
                         Some(_) => return,
@@ -400,7 +400,7 @@
                     NextStep::ForwardFailure => Answer::Failure,
                     _ => Answer::Cut,
                 };
-                if let Some(asked) = self.asked.get_mut(&number) {
+                if let Some(asked) = self.requests.get_mut(&number) {
                     asked.ended = Some((now, answer));
                 }
             }
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -111,7 +111,7 @@
         let Some(run) = self.running.remove(&number) else {
             return;
         };
-        if let Some(asked) = self.asked.get_mut(&number) {
+        if let Some(asked) = self.requests.get_mut(&number) {
             let resumable = asked.call.path.starts_with("/berth/");
             if matches!(asked.ended, Some((_, Answer::Served(_)))) {
                 asked.ended = (!resumable).then_some((self.now, Answer::Cut));
