--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -35,7 +35,7 @@
 
 /// How a call at a VM came out.
 fn outcome(world: &mut World, vm: usize, call: CallerRequest) -> Answer {
-    let number = world.ask(vm, call);
+    let number = world.send_request(vm, call);
     world.run(Span::from_millis(500));
     let answer = world.answer(number).cloned();
     answer.expect("an answer")
@@ -54,7 +54,7 @@
         ("key-n2", "north"),
         ("key-s1", "south"),
     ] {
-        let number = world.ask(0, call("r", text));
+        let number = world.send_request(0, call("r", text));
         world.run(Span::from_millis(500));
         let told = &world.requests[&number].accounts;
         assert_eq!(told, &vec![Some(name(account))], "{text}");
@@ -107,7 +107,7 @@
     open.routes = open.routes.iter().map(|route| public(route)).collect();
     world.configure(open);
     world.run(IN_FORCE);
-    let number = world.ask(
+    let number = world.send_request(
         0,
         CallerRequest {
             key: None,
@@ -160,7 +160,7 @@
             served(&outcome(&mut world, vm, call("r", "key-s2"))),
             "vm{vm}"
         );
-        let number = world.ask(vm, call("r", "key-n2"));
+        let number = world.send_request(vm, call("r", "key-n2"));
         world.run(Span::from_millis(500));
         assert_eq!(
             world.requests[&number].accounts,
@@ -210,7 +210,7 @@
         key: Some(key("key-n1")),
         ..setup::draft("r", "a1")
     };
-    let number = world.ask(0, draft);
+    let number = world.send_request(0, draft);
     world.run(Span::from_secs(3));
     assert_eq!(world.requests[&number].priorities, vec![7]);
 }
@@ -251,7 +251,7 @@
                 2 => world.kill(usize::from(*step) % 3, false),
                 3 => world.vms[usize::from(*step) % 3].store_reachable ^= true,
                 _ => {
-                    world.ask(usize::from(*step) % 3, call("r", &secret));
+                    world.send_request(usize::from(*step) % 3, call("r", &secret));
                 }
             }
             world.run(Span::from_millis(300));
--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -16,7 +16,7 @@
 #[test]
 fn plain_isserved() {
     let mut world = ready();
-    let number = world.ask(0, call("a", "/query/x", 4_000, None));
+    let number = world.send_request(0, call("a", "/query/x", 4_000, None));
     world.run(Span::from_secs(1));
     assert!(matches!(world.answer(number), Some(Answer::Served(_))));
     world.check();
@@ -25,7 +25,7 @@
 #[test]
 fn draft_coldisloadedandserved() {
     let mut world = ready();
-    let number = world.ask(1, call("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))));
+    let number = world.send_request(1, call("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))));
     world.run(Span::from_secs(2));
     let first = world.first_piece(number).expect("served");
     assert!(first < Span::from_millis(500), "{first}");
@@ -36,7 +36,7 @@
 fn draft_warmneedsnoload() {
     let mut world = ready();
     for at in 0..10 {
-        world.ask(
+        world.send_request(
             at % 3,
             call("a", "/plan/x", 5_000, Some(work("a1", 1_000, 20))),
         );
@@ -50,7 +50,7 @@
 #[test]
 fn route_unknownisrefused() {
     let mut world = ready();
-    let number = world.ask(0, call("a", "/none/x", 4_000, None));
+    let number = world.send_request(0, call("a", "/none/x", 4_000, None));
     world.run(Span::from_millis(1));
     assert_eq!(
         world.answer(number),
@@ -64,9 +64,9 @@
 fn config_unknownisrefusedwithtime() {
     let mut world = World::new(1, 1, 1);
     world.store_up = false;
-    let early = world.ask(0, call("a", "/query/x", 4_000, None));
+    let early = world.send_request(0, call("a", "/query/x", 4_000, None));
     world.run(Span::from_millis(310));
-    let later = world.ask(0, call("b", "/query/x", 4_000, None));
+    let later = world.send_request(0, call("b", "/query/x", 4_000, None));
     for number in [early, later] {
         assert!(matches!(
             world.answer(number),
@@ -95,7 +95,7 @@
 #[test]
 fn start_sendsnothingforacallerthatleft() {
     let mut world = World::new(1, 1, 1);
-    let number = world.ask(0, call("a", "/query/x", 4_000, None));
+    let number = world.send_request(0, call("a", "/query/x", 4_000, None));
     world.leave(number);
     world.run(Span::from_secs(2));
     assert_eq!(world.requests[&number].arrivals, 0);
@@ -107,7 +107,7 @@
     let mut world = ready();
     for at in 0..200_u32 {
         let adapter = format!("a{}", at * 7 % 61);
-        world.ask(
+        world.send_request(
             at as usize % 3,
             call("a", "/plan/x", 5_000, Some(work(&adapter, 800, 20))),
         );
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -156,7 +156,7 @@
             let stable = series.world.now >= series.store_troubled + CONTACT;
             if stable && series.was_well(vm, series.world.now) && written.len() > 1 {
                 let call = accounts::call("r", &key(number));
-                asked.push((series.world.ask(vm, call), vm, number));
+                asked.push((series.world.send_request(vm, call), vm, number));
             }
         }
         series.world.run(Span::from_secs(2));
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -47,7 +47,7 @@
         let vm = at % world.vms.len();
         if world.vms[vm].gateway.is_some() {
             let crashing = crashing(world, path, at);
-            world.ask(vm, crashing);
+            world.send_request(vm, crashing);
         }
         others.extend(world.quiet_night(REPEATED));
     }
@@ -129,7 +129,7 @@
         let mut world = warm();
         for at in 0..15 {
             let crashing = crashing(&mut world, "/plan/crash", at);
-            world.ask(vm, crashing);
+            world.send_request(vm, crashing);
             world.quiet_night(REPEATED);
         }
         check(&world, "/plan/crash");
@@ -143,7 +143,7 @@
     for at in 0..100 {
         for vm in 0..2 {
             let crashing = crashing(&mut world, "/plan/crash", at);
-            world.ask((at + vm * 3) % 6, crashing);
+            world.send_request((at + vm * 3) % 6, crashing);
         }
         world.quiet_night(Span::from_millis(200));
     }
@@ -201,7 +201,7 @@
     world.vms[5].peers_reachable = false;
     for at in 0..10 {
         let crashing = crashing(&mut world, "/plan/crash", at);
-        world.ask(at % 5, crashing);
+        world.send_request(at % 5, crashing);
         world.quiet_night(REPEATED);
     }
     world.vms[5].peers_reachable = true;
@@ -209,7 +209,7 @@
     let ends = world.crashing.ends.len();
     for at in 10..20 {
         let crashing = crashing(&mut world, "/plan/crash", at);
-        world.ask(5, crashing);
+        world.send_request(5, crashing);
         world.run(REPEATED);
     }
     let more = world.crashing.ends.len() - ends;
@@ -254,7 +254,7 @@
     for at in 0..30 {
         for kind in 0..kinds {
             let crashing = crashing(world, &format!("/plan/crash{kind}"), at);
-            world.ask((at * stride + kind) % world.vms.len(), crashing);
+            world.send_request((at * stride + kind) % world.vms.len(), crashing);
         }
         world.run(pause);
     }
@@ -392,7 +392,7 @@
     repeat(&mut world, "/plan/crash", 10);
     for vm in 0..6 {
         let crashing = crashing(&mut world, "/plan/crash", vm);
-        let number = world.ask(vm, crashing);
+        let number = world.send_request(vm, crashing);
         let Some(Answer::Refused(RefusalReason::Quarantined, Some(after))) = world.answer(number)
         else {
             panic!("{:?}", world.answer(number));
@@ -408,7 +408,7 @@
     let mut world = warm();
     for at in 0..200 {
         let crashing = crashing(&mut world, "/plan/crash", at);
-        world.ask(at % 6, crashing);
+        world.send_request(at % 6, crashing);
         world.run(Span::from_millis(50));
     }
     let fingerprint = Fingerprint::of(["/plan/crash".as_bytes()]);
@@ -455,7 +455,7 @@
                 let vm = series.rng.random_range(0..VMS);
                 if series.rng.random_bool(0.06) {
                     let crashing = crashing(&mut series.world, path, at);
-                    series.world.ask(vm, crashing);
+                    series.world.send_request(vm, crashing);
                 }
             }
             ordinary(&mut series, at);
@@ -484,10 +484,12 @@
 fn ordinary(series: &mut Series, at: usize) {
     let vm = series.rng.random_range(0..VMS);
     let adapter = format!("a{}", series.rng.random_range(0..12));
-    series.world.ask(vm, draft(&format!("o{at}"), &adapter));
+    series
+        .world
+        .send_request(vm, draft(&format!("o{at}"), &adapter));
     let lookup = format!("q{}", at % 4);
     let lookup = call(&lookup, "/query/x", 2_000, None);
-    series.world.ask((vm + 1) % VMS, lookup);
+    series.world.send_request((vm + 1) % VMS, lookup);
     let ends = series.rng.random_bool(0.01);
     let busiest = series.world.busiest().first().cloned();
     if let Some(server) = busiest.filter(|_| ends) {
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -85,11 +85,11 @@
     world.run(Span::from_secs(2));
     fail(&mut world, &["p0"], true);
     let post = |id: &str| support::setup::call(id, "/post/x", 2_000, None);
-    world.ask(0, post("first"));
+    world.send_request(0, post("first"));
     world.run(Span::from_millis(30));
-    world.ask(0, post("second"));
+    world.send_request(0, post("second"));
     world.run(Span::from_millis(40));
-    world.ask(0, post("third"));
+    world.send_request(0, post("third"));
     let mut lines = world.lines.iter();
     let sent = lines.find(|line| line.contains("Sent") && line.contains("id=third"));
     let sent = sent.expect("it was sent");
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -45,7 +45,7 @@
     let old = world.holder().expect("a holder");
     world.kill(old, true);
     let vm = (old + 1) % 4;
-    let cold = world.ask(
+    let cold = world.send_request(
         vm,
         call("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
     );
@@ -65,7 +65,7 @@
     let new = world.holder().expect("a holder");
     assert_ne!(old, new);
     let vm = (old + 1) % 4;
-    let cold = world.ask(
+    let cold = world.send_request(
         vm,
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
@@ -110,7 +110,7 @@
     world.store_up = false;
     world.wake_watchers();
     let numbers = world.quiet_night(Span::from_secs(8));
-    let cold = world.ask(
+    let cold = world.send_request(
         0,
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
@@ -135,7 +135,7 @@
         let vm = (old + 1) % 4;
         let ask = |world: &mut World, id: &str| {
             let call = call(id, "/plan/x", 5_000, Some(work("a77", 600, 15)));
-            world.ask(vm, call)
+            world.send_request(vm, call)
         };
         world.run(Span::from_millis(offset));
         let first = ask(&mut world, "first");
@@ -170,7 +170,7 @@
     let vm = (world.holder().expect("a holder") + 1) % 4;
     world.revoke(vm);
     let numbers = world.quiet_night(Span::from_secs(5));
-    let cold = world.ask(
+    let cold = world.send_request(
         vm,
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
@@ -210,7 +210,7 @@
         world.kill(vm, false);
     }
     world.run(Span::from_millis(900));
-    let cold = world.ask(
+    let cold = world.send_request(
         1,
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
@@ -228,7 +228,7 @@
     let old = world.holder().expect("a holder");
     world.freeze(old, Span::from_secs(30));
     let vm = (old + 1) % 4;
-    let cold = world.ask(
+    let cold = world.send_request(
         vm,
         call("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
     );
@@ -251,7 +251,7 @@
         }
         late_held += u32::from(world.holder() == Some(late));
         world.run(Span::from_millis(6));
-        let cold = world.ask(
+        let cold = world.send_request(
             1 - late,
             call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
         );
@@ -334,7 +334,7 @@
     let vm = (world.holder().expect("a holder") + 1) % 4;
     for at in 0..6 {
         let long = work(&format!("a{at}"), 600, 4_000);
-        world.ask(vm, call(&format!("l{at}"), "/brief/x", 15_000, Some(long)));
+        world.send_request(vm, call(&format!("l{at}"), "/brief/x", 15_000, Some(long)));
     }
     world.run(Span::from_millis(300));
     world.kill(vm, false);
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -212,7 +212,7 @@
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.ask(vm, mixed(asked));
+                    series.world.send_request(vm, mixed(asked));
                 }
             }
         }
@@ -247,7 +247,7 @@
     let before = world.sent["place"];
     let mut asked = 0;
     for at in 0..150 {
-        world.ask(knows, draft(&format!("d{at}"), &format!("a{}", at % 12)));
+        world.send_request(knows, draft(&format!("d{at}"), &format!("a{}", at % 12)));
         world.run(Span::from_millis(20));
         asked += 1;
     }
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -115,7 +115,7 @@
 fn version_newerisusedinfiveseconds() {
     let mut world = ready();
     let warm = |world: &mut World, id: &str| {
-        let number = world.ask(0, call(id, "/plan/x", 5_000, Some(work("a1", 600, 15))));
+        let number = world.send_request(0, call(id, "/plan/x", 5_000, Some(work("a1", 600, 15))));
         world.run(Span::from_millis(800));
         number
     };
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -43,7 +43,7 @@
 fn cold_everywhere(world: &mut World, times: usize) {
     for at in 0..times * 4 {
         for vm in 0..world.vms.len() {
-            world.ask(vm, draft(&format!("e{at}-{vm}"), &format!("e{at}-{vm}")));
+            world.send_request(vm, draft(&format!("e{at}-{vm}"), &format!("e{at}-{vm}")));
         }
         world.run(Span::from_millis(25));
     }
@@ -78,7 +78,7 @@
     for at in 0..400_u32 {
         if at % 4 == 0 {
             let draft = work(&format!("c{at}"), 600, 15);
-            world.ask(old, call(&format!("c{at}"), "/plan/x", 5_000, Some(draft)));
+            world.send_request(old, call(&format!("c{at}"), "/plan/x", 5_000, Some(draft)));
         }
         world.run(Span::from_millis(10));
         if gone.is_none() && world.holder() != Some(old) {
@@ -117,7 +117,7 @@
         }
         world.store_up = true;
         world.run(Span::from_millis(1_000));
-        let cold = world.ask(
+        let cold = world.send_request(
             0,
             call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
         );
@@ -335,7 +335,7 @@
     }
     // They start again after 400 ms.
     world.run(Span::from_millis(410));
-    let cold = world.ask(
+    let cold = world.send_request(
         (old + 1) % 4,
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -114,7 +114,7 @@
                 let vm = callers.vms[self.rng.random_range(0..callers.vms.len())];
                 self.sent += 1;
                 let id = format!("{}-{}", callers.name, self.sent);
-                self.world.ask(vm, call(&id, &callers.name));
+                self.world.send_request(vm, call(&id, &callers.name));
             }
         }
     }
@@ -392,13 +392,15 @@
 fn caller_leavingcostsnotokens() {
     let mut load = Load::new(6, 12);
     for vm in 0..2 {
-        let number = load.world.ask(vm, call(&format!("left-{vm}"), "a0"));
+        let number = load
+            .world
+            .send_request(vm, call(&format!("left-{vm}"), "a0"));
         load.world.leave(number);
         load.world.run(Span::from_millis(20));
     }
     let before = load.messages();
     for vm in 0..2 {
-        load.world.ask(vm, call(&format!("a0-{vm}"), "a0"));
+        load.world.send_request(vm, call(&format!("a0-{vm}"), "a0"));
     }
     load.world.run(Span::from_secs(1));
     load.check();
@@ -414,7 +416,8 @@
     let before = load.messages();
     let ask = |load: &mut Load, times: usize| {
         for at in 0..times {
-            load.world.ask(at % 6, call(&format!("a10-{at}"), "a10"));
+            load.world
+                .send_request(at % 6, call(&format!("a10-{at}"), "a10"));
         }
         load.world.run(Span::from_millis(20));
     };
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -193,7 +193,7 @@
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.ask(vm, mixed(asked));
+                    series.world.send_request(vm, mixed(asked));
                 }
             }
         }
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -107,7 +107,7 @@
     world.run(Span::from_secs(1));
     world.restart_server("e0", 2);
     world.run(Span::from_millis(400));
-    let number = world.ask(0, draft("r", "a9"));
+    let number = world.send_request(0, draft("r", "a9"));
     world.run(Span::from_secs(2));
     assert!(world.first_piece(number).is_some());
     world.check();
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -71,7 +71,7 @@
     let ask = |world: &mut World, at: usize| {
         for vm in &strong {
             let call = support::setup::draft(&format!("r{at}"), "a1");
-            world.ask(*vm, call);
+            world.send_request(*vm, call);
         }
         world.run(Span::from_millis(20));
     };
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -459,7 +459,7 @@
     }
 
     /// Sends a request to a VM and gives its number.
-    pub fn ask(&mut self, vm: usize, call: CallerRequest) -> u64 {
+    pub fn send_request(&mut self, vm: usize, call: CallerRequest) -> u64 {
         self.seq += 1;
         let number = self.seq;
         self.requests.insert(
@@ -495,7 +495,7 @@
         for at in 0..count {
             let vm = at % self.vms.len();
             if self.vms[vm].gateway.is_some() {
-                numbers.push(self.ask(vm, call(at)));
+                numbers.push(self.send_request(vm, call(at)));
             }
             self.run(pause);
         }
