--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -31,7 +31,7 @@
         world.servers.get_mut(&id).expect("a server").0.failing = true;
     }
     let query = |at| call(&format!("q{at}"), "/query/x", 2_000, None);
-    let numbers = world.ask_all(REQUESTS as usize, Span::from_millis(10), query);
+    let numbers = world.send_requests(REQUESTS as usize, Span::from_millis(10), query);
     world.run(Span::from_secs(2));
     let tuning = Tuning::default();
     let allowed = tuning.retry_ratio * f64::from(REQUESTS) + tuning.retry_extra;
--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -84,7 +84,7 @@
     }
     world.run(Span::from_millis(401));
     let call = |at| call(&format!("r{at}"), "/query/x", 4_000, None);
-    let numbers = world.ask_all(120, Span::ZERO, call);
+    let numbers = world.send_requests(120, Span::ZERO, call);
     assert_eq!(numbers.len(), 120);
     world.run(Span::from_secs(3));
     assert_eq!(world.served_of(&numbers), numbers.len());
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -287,11 +287,11 @@
     world.run(Span::from_secs(2));
     let long = |at| long(at, 30, 12);
     for _ in 0..5 {
-        world.ask_all(60, Span::from_millis(40), long);
+        world.send_requests(60, Span::from_millis(40), long);
         for server in world.busiest().into_iter().take(3) {
             world.fall(&server);
         }
-        world.ask_all(60, Span::from_millis(40), long);
+        world.send_requests(60, Span::from_millis(40), long);
     }
     assert!(lines(&world, "ServerEnded") >= 15);
     check_others(&world);
@@ -306,7 +306,7 @@
     for at in 0..20 {
         for _ in 0..10 {
             let lookup = |at: usize| call(&format!("q{}", at % 4), "/query/x", 2_000, None);
-            numbers.extend(world.ask_all(4, Span::from_millis(25), lookup));
+            numbers.extend(world.send_requests(4, Span::from_millis(25), lookup));
         }
         if let Some(server) = world.up(false).get(at % 2) {
             world.fall(&server.clone());
@@ -324,7 +324,7 @@
     let mut world = warm();
     let long = |at| long(at, 6, 6);
     for _ in 0..8 {
-        world.ask_all(12, Span::from_millis(40), long);
+        world.send_requests(12, Span::from_millis(40), long);
         for server in world.up(true) {
             world.reset(&server);
         }
@@ -343,7 +343,7 @@
         call(&id, "/berth/x", 8_000, Some(work("a1", 600, 400)))
     };
     for engine in 0..6 {
-        world.ask_all(12, Span::from_millis(40), long);
+        world.send_requests(12, Span::from_millis(40), long);
         let id = format!("e{engine}");
         world.drain(&id);
         world.run(Span::from_millis(500));
@@ -373,7 +373,7 @@
             fingerprint,
             ..call(&format!("m{at}"), "/plan/crash", 5_000, Some(work.clone()))
         };
-        let numbers = world.ask_all(10, REPEATED, ask);
+        let numbers = world.send_requests(10, REPEATED, ask);
         world.run(Span::from_secs(5));
         if mended {
             assert_eq!(world.served_of(&numbers), numbers.len());
@@ -506,7 +506,7 @@
     let path = "/berth/x";
     let long = |_| call(id, path, 8_000, Some(work("a1", 600, 200)));
     for _ in 0..2 {
-        world.ask_all(1, Span::from_millis(600), long);
+        world.send_requests(1, Span::from_millis(600), long);
         for server in world.busiest() {
             world.fall(&server);
         }
@@ -522,7 +522,7 @@
             .get(&EntryKey::Quarantine(fingerprint))
             .is_none()
     );
-    let numbers = world.ask_all(6, Span::from_millis(100), long);
+    let numbers = world.send_requests(6, Span::from_millis(100), long);
     world.run(Span::from_secs(8));
     assert_eq!(world.served_of(&numbers), numbers.len());
     check_others(&world);
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -55,7 +55,7 @@
             }
             world.wake_watchers();
             let call = |at: usize| draft(&format!("r{round}-{at}"), &format!("a{}", at * 5 % 12));
-            numbers.extend(world.ask_all(50, Span::from_millis(40), call));
+            numbers.extend(world.send_requests(50, Span::from_millis(40), call));
         }
         world.run(Span::from_secs(6));
         let (served, all) = (world.served_of(&numbers), numbers.len());
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -14,7 +14,7 @@
 fn traffic(world: &mut World, span: Span) -> Vec<u64> {
     let count = usize::try_from(span.0 / PAUSE.0).expect("small");
     let call = |at| draft(&format!("r{at}"), &format!("a{}", at * 5 % 8));
-    world.ask_all(count, PAUSE, call)
+    world.send_requests(count, PAUSE, call)
 }
 
 fn fail(world: &mut World, ids: &[&str], failing: bool) {
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -120,7 +120,7 @@
     let since = world.now;
     world.busy_night(Span::from_secs(4));
     // Adapters that no engine holds go where there is room.
-    world.ask_all(100, Span::from_millis(20), |at| {
+    world.send_requests(100, Span::from_millis(20), |at| {
         draft(&format!("n{at}"), &format!("b{}", at % 20))
     });
     for server in ["e3", "p0"] {
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -107,7 +107,7 @@
     world.busy_night(Span::from_secs(2));
     let before = world.served();
     let since = world.now;
-    let asked = world.ask_all(200, Span::from_millis(40), |at| {
+    let asked = world.send_requests(200, Span::from_millis(40), |at| {
         call(&format!("s{at}"), "/query/x", 2_000, None)
     });
     world.run(Span::from_secs(3));
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -30,7 +30,7 @@
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
     // 25 requests a second of 2,400 tokens are three engines' work at 20 tokens a millisecond.
-    let numbers = world.ask_all(150, Span::from_millis(40), busy);
+    let numbers = world.send_requests(150, Span::from_millis(40), busy);
     world.run(Span::from_secs(5));
     let ordered = world
         .lines
@@ -57,7 +57,7 @@
         let work = work(&format!("a{at}"), 800, 20);
         call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(320, Span::from_millis(15), rare);
+    let numbers = world.send_requests(320, Span::from_millis(15), rare);
     world.run(Span::from_secs(16));
     let good = world.served_of(&numbers);
     let refused = world.refused_of(&numbers);
@@ -78,7 +78,7 @@
 fn hot_beyondtheenginesisrefusedatonce() {
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
-    let numbers = world.ask_all(240, Span::from_millis(24), busy);
+    let numbers = world.send_requests(240, Span::from_millis(24), busy);
     world.run(Span::from_secs(6));
     let good = world.served_of(&numbers);
     let refused = world.refused_of(&numbers);
@@ -106,7 +106,7 @@
         let work = work(&format!("a{}", at * 5 % 48), 800, 20);
         call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(600, Span::from_millis(40), rare);
+    let numbers = world.send_requests(600, Span::from_millis(40), rare);
     world.run(Span::from_secs(16));
     assert_eq!(world.served_of(&numbers), numbers.len());
     world.check();
@@ -144,7 +144,7 @@
         let work = work(&format!("a{at}"), 3_000, 20);
         call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(16, Span::ZERO, rare);
+    let numbers = world.send_requests(16, Span::ZERO, rare);
     world.run(Span::from_secs(5));
     let begun = numbers
         .iter()
@@ -168,7 +168,7 @@
         let work = work(&format!("a{at}"), 6_000, 100);
         call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(120, Span::from_millis(82), long);
+    let numbers = world.send_requests(120, Span::from_millis(82), long);
     world.run(Span::from_secs(16));
     let fetches = world.servers.values().map(|(engine, _)| engine.fetches);
     let fetches: u32 = fetches.sum();
@@ -188,7 +188,7 @@
         call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     for _ in 0..12 {
-        world.ask_all(8, Span::ZERO, adapter);
+        world.send_requests(8, Span::ZERO, adapter);
         world.run(Span::from_millis(320));
     }
     world.run(Span::from_secs(5));
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -19,7 +19,7 @@
             &format!("{prefix}{}", at * 7 % 60),
         )
     };
-    world.ask_all(count, PAUSE, call)
+    world.send_requests(count, PAUSE, call)
 }
 
 fn ready() -> World {
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -172,7 +172,7 @@
     world.store_up = false;
     world.wake_watchers();
     let cold = |at: usize| draft(&format!("c{at}"), &format!("cold{at}"));
-    let numbers = world.ask_all(80, Span::from_millis(100), cold);
+    let numbers = world.send_requests(80, Span::from_millis(100), cold);
     world.store_up = true;
     world.run(Span::from_secs(5));
     assert_eq!(world.served_of(&numbers), numbers.len());
@@ -203,7 +203,7 @@
             }
             world.wake_watchers();
             let cold = |at: usize| draft(&format!("c{step}-{at}"), &format!("a{}", step % 30 + at));
-            world.ask_all(2, Span::from_millis(100), cold);
+            world.send_requests(2, Span::from_millis(100), cold);
         }
         one_at_a_time(&world);
         world.check();
--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -24,7 +24,7 @@
 
 /// Requests at a pace for some seconds, for two dozen adapters in turn.
 fn load(world: &mut World, count: usize, pause: Span) -> Vec<u64> {
-    world.ask_all(count, pause, |at| {
+    world.send_requests(count, pause, |at| {
         draft(&format!("r{at}"), &format!("a{}", at * 7 % 24))
     })
 }
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -103,7 +103,7 @@
             Some(support::setup::work(&format!("a{at}"), 600, 1_200)),
         )
     };
-    world.ask_all(5, PAUSE, long);
+    world.send_requests(5, PAUSE, long);
     world.run(Span::from_secs(1));
     world.restart_server("e0", 2);
     world.run(Span::from_millis(400));
@@ -165,7 +165,7 @@
     );
     world.run(Span::from_millis(200));
     let post = |at| support::setup::call(&format!("p{at}"), "/post/x", 2_000, None);
-    let numbers = world.ask_all(40, PAUSE, post);
+    let numbers = world.send_requests(40, PAUSE, post);
     world.run(Span::from_secs(3));
     assert_eq!(world.served_of(&numbers), 40);
     assert_eq!(again(&world, &numbers), 0);
@@ -209,10 +209,10 @@
             ),
             _ => draft(&format!("v{version}-{at}"), "a5"),
         };
-        numbers.extend(world.ask_all(7, PAUSE, call));
+        numbers.extend(world.send_requests(7, PAUSE, call));
     }
     world.run(Span::from_secs(5));
-    let last = world.ask_all(10, PAUSE, |at| draft(&format!("z{at}"), "a5"));
+    let last = world.send_requests(10, PAUSE, |at| draft(&format!("z{at}"), "a5"));
     world.run(Span::from_secs(9));
     let (all, good) = (numbers.len(), world.served_of(&numbers));
     assert!(good * 100 >= all * 95, "{good} of {all}");
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -485,7 +485,7 @@
     }
 
     /// Sends requests at a steady pace, each to the next VM in turn where that one runs, and gives their numbers.
-    pub fn ask_all(
+    pub fn send_requests(
         &mut self,
         count: usize,
         pause: Span,
@@ -507,7 +507,7 @@
     pub fn quiet_night(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / QUIET_PAUSE.0).expect("small");
         let call = |at| setup::draft(&format!("r{at}"), &format!("a{}", at * 5 % 12));
-        self.ask_all(count, QUIET_PAUSE, call)
+        self.send_requests(count, QUIET_PAUSE, call)
     }
 
     /// A fleet of 12 engines and 4 plain servers after some seconds of a busy night.
@@ -522,7 +522,7 @@
     /// plain service; their numbers.
     pub fn busy_night(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / BUSY_PAUSE.0).expect("small");
-        self.ask_all(count, BUSY_PAUSE, setup::mixed)
+        self.send_requests(count, BUSY_PAUSE, setup::mixed)
     }
 
     /// How long each of these requests was held that was refused.
