--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -96,7 +96,7 @@
 fn start_sendsnothingforacallerthatleft() {
     let mut world = World::new(1, 1, 1);
     let number = world.send_request(0, call("a", "/query/x", 4_000, None));
-    world.leave(number);
+    world.disconnect_caller(number);
     world.run(Span::from_secs(2));
     assert_eq!(world.requests[&number].arrivals, 0);
     world.check();
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -395,7 +395,7 @@
         let number = load
             .world
             .send_request(vm, call(&format!("left-{vm}"), "a0"));
-        load.world.leave(number);
+        load.world.disconnect_caller(number);
         load.world.run(Span::from_millis(20));
     }
     let before = load.messages();
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -544,7 +544,7 @@
     }
 
     /// The caller of a request leaves.
-    pub fn leave(&mut self, number: u64) {
+    pub fn disconnect_caller(&mut self, number: u64) {
         let vm = self.requests[&number].vm;
         self.deliver(vm, Event::CallerLeft(number));
     }
