--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -49,7 +49,7 @@
             let crashing = crashing(world, path, at);
             world.send_request(vm, crashing);
         }
-        others.extend(world.quiet_night(REPEATED));
+        others.extend(world.send_light_load(REPEATED));
     }
     others
 }
@@ -102,7 +102,7 @@
 fn warm() -> World {
     let mut world = World::new(6, 12, 4);
     world.run(Span::from_secs(2));
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     world
 }
 
@@ -130,7 +130,7 @@
         for at in 0..15 {
             let crashing = crashing(&mut world, "/plan/crash", at);
             world.send_request(vm, crashing);
-            world.quiet_night(REPEATED);
+            world.send_light_load(REPEATED);
         }
         check(&world, "/plan/crash");
     }
@@ -145,7 +145,7 @@
             let crashing = crashing(&mut world, "/plan/crash", at);
             world.send_request((at + vm * 3) % 6, crashing);
         }
-        world.quiet_night(Span::from_millis(200));
+        world.send_light_load(Span::from_millis(200));
     }
     check(&world, "/plan/crash");
 }
@@ -202,7 +202,7 @@
     for at in 0..10 {
         let crashing = crashing(&mut world, "/plan/crash", at);
         world.send_request(at % 5, crashing);
-        world.quiet_night(REPEATED);
+        world.send_light_load(REPEATED);
     }
     world.vms[5].peers_reachable = true;
     world.run(Span::from_secs(2));
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -14,7 +14,7 @@
 fn warm() -> World {
     let mut world = World::new(4, 4, 1);
     world.run(Span::from_secs(2));
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     world
 }
 
@@ -30,7 +30,7 @@
     let mut world = warm();
     let old = world.holder().expect("a holder");
     world.kill(old, true);
-    let numbers = world.quiet_night(Span::from_secs(6));
+    let numbers = world.send_light_load(Span::from_secs(6));
     let new = world.holder().expect("a holder");
     assert_ne!(old, new);
     world.run(Span::from_secs(5));
@@ -79,7 +79,7 @@
     let mut world = warm();
     let old = world.holder().expect("a holder");
     world.freeze(old, Span::from_secs(5));
-    let numbers = world.quiet_night(Span::from_secs(9));
+    let numbers = world.send_light_load(Span::from_secs(9));
     assert_ne!(world.holder(), Some(old));
     world.run(Span::from_secs(6));
     let others: Vec<u64> = numbers
@@ -96,7 +96,7 @@
     let old = world.holder().expect("a holder");
     world.vms[old].store_reachable = false;
     world.wake_watchers();
-    let numbers = world.quiet_night(Span::from_secs(6));
+    let numbers = world.send_light_load(Span::from_secs(6));
     assert_ne!(world.holder(), Some(old));
     world.run(Span::from_secs(5));
     world.check_served(&numbers, 97);
@@ -109,7 +109,7 @@
     let old = world.holder();
     world.store_up = false;
     world.wake_watchers();
-    let numbers = world.quiet_night(Span::from_secs(8));
+    let numbers = world.send_light_load(Span::from_secs(8));
     let cold = world.send_request(
         0,
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
@@ -157,7 +157,7 @@
         world.kill(vm, false);
     }
     world.run(Span::from_secs(4));
-    let numbers = world.quiet_night(Span::from_secs(2));
+    let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
     world.check_served(&numbers, 95);
     world.check();
@@ -169,7 +169,7 @@
     let mut world = warm();
     let vm = (world.holder().expect("a holder") + 1) % 4;
     world.revoke(vm);
-    let numbers = world.quiet_night(Span::from_secs(5));
+    let numbers = world.send_light_load(Span::from_secs(5));
     let cold = world.send_request(
         vm,
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
@@ -190,7 +190,7 @@
     let mut world = warm();
     let vm = world.holder().expect("a holder");
     world.revoke(vm);
-    let numbers = world.quiet_night(Span::from_secs(5));
+    let numbers = world.send_light_load(Span::from_secs(5));
     assert_ne!(world.holder(), Some(vm));
     world.run(Span::from_secs(5));
     let mine: Vec<u64> = numbers
@@ -288,7 +288,7 @@
             world.store.remove(&EntryKey::Holder(name(ENGINES)));
             world.wake_watchers();
         }
-        world.quiet_night(Span::from_millis(40));
+        world.send_light_load(Span::from_millis(40));
         let Some(vm) = world.holder() else {
             continue;
         };
@@ -314,11 +314,11 @@
     world.run(Span::from_secs(3));
     assert_eq!(world.holder(), Some(4));
     world.store.watched_by.clear();
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     assert_eq!(world.store.watched_by, [2, 4, 6].into());
     for expected in [[2, 6], [6, 2]] {
         world.kill(world.holder().expect("a holder"), true);
-        world.quiet_night(Span::from_secs(6));
+        world.send_light_load(Span::from_secs(6));
         let holder = world.holder().expect("a holder");
         assert!(expected.contains(&holder), "vm{holder}");
     }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -21,7 +21,7 @@
     };
     let mut world = World::tuned(4, 4, 1, tuning);
     world.run(Span::from_secs(2));
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     world
 }
 
@@ -111,7 +111,7 @@
         let mut world = unfenced();
         world.store_up = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_secs(5));
+        world.send_light_load(Span::from_secs(5));
         if lapse {
             world.store.expire(Instant::NEVER);
         }
@@ -137,9 +137,9 @@
         world.run(Span::from_secs(2));
         world.store_up = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_secs(away));
+        world.send_light_load(Span::from_secs(away));
         world.store_up = true;
-        world.quiet_night(Span::from_secs(3));
+        world.send_light_load(Span::from_secs(3));
         for vm in 0..6 {
             let said = |word: &str| {
                 let lines = world
@@ -219,7 +219,7 @@
         let old = world.holder().expect("a holder");
         world.vms[old].store_reachable = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_millis(cut));
+        world.send_light_load(Span::from_millis(cut));
         world.vms[old].peers_reachable = false;
         cold_everywhere(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
@@ -237,7 +237,7 @@
         let old = world.holder().expect("a holder");
         world.store_up = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_millis(3_000 + apart));
+        world.send_light_load(Span::from_millis(3_000 + apart));
         world.vms[old].store_reachable = false;
         world.vms[old].peers_reachable = false;
         world.store.remove(&EntryKey::Holder(name(ENGINES)));
@@ -264,7 +264,7 @@
     world.run(Span::from_secs(3));
     assert_eq!(world.holder(), Some(4));
     world.kill(4, true);
-    world.quiet_night(Span::from_secs(6));
+    world.send_light_load(Span::from_secs(6));
     assert!([Some(2), Some(6)].contains(&world.holder()));
     one_at_a_time(&world);
     world.check();
@@ -310,9 +310,9 @@
     assert_eq!(world.holder(), Some(2));
     for _ in 0..3 {
         world.vms[2].store_silent = true;
-        world.quiet_night(Span::from_millis(3_200));
+        world.send_light_load(Span::from_millis(3_200));
         world.vms[2].store_silent = false;
-        world.quiet_night(Span::from_millis(500));
+        world.send_light_load(Span::from_millis(500));
     }
     assert_eq!(world.holder(), Some(1));
     let taken = world
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -18,7 +18,7 @@
 fn warm() -> World {
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     world
 }
 
@@ -45,7 +45,7 @@
         let mut world = warm();
         world.restart_server("e1", start);
         world.run(Span::from_millis(20));
-        let numbers = world.quiet_night(Span::from_secs(3));
+        let numbers = world.send_light_load(Span::from_secs(3));
         world.run(Span::from_secs(5));
         assert_eq!(world.served_of(&numbers), numbers.len());
         assert_eq!(again(&world, &numbers), 0, "start {start}");
@@ -64,10 +64,10 @@
     for start in 2..14 {
         let engine = format!("e{}", start % 4);
         world.restart_server(&engine, start);
-        numbers.extend(world.quiet_night(Span::from_secs(1)));
+        numbers.extend(world.send_light_load(Span::from_secs(1)));
     }
     world.late_orders = 0.0;
-    numbers.extend(world.quiet_night(Span::from_secs(14)));
+    numbers.extend(world.send_light_load(Span::from_secs(14)));
     world.run(Span::from_secs(5));
     let (all, good) = (numbers.len(), world.served_of(&numbers));
     assert!(good * 10 >= all * 9, "{good} of {all}");
@@ -81,9 +81,9 @@
     let mut world = warm();
     let (_, earlier) = world.servers[&name::<Server>("e1")].clone();
     world.restart_server("e1", 2);
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     world.write(EntryKey::Server(name("e1")), EntryValue::Server(earlier));
-    let numbers = world.quiet_night(Span::from_secs(3));
+    let numbers = world.send_light_load(Span::from_secs(3));
     world.run(Span::from_secs(5));
     assert_eq!(world.served_of(&numbers), numbers.len());
     assert_eq!(again(&world, &numbers), 0);
@@ -133,7 +133,7 @@
         world.write(EntryKey::Server(name(&spoilt)), EntryValue::Unreadable);
     }
     world.run(Span::from_millis(200));
-    let numbers = world.quiet_night(Span::from_secs(2));
+    let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
     assert_eq!(world.served_of(&numbers), numbers.len());
     assert_eq!(again(&world, &numbers), 0);
@@ -143,7 +143,7 @@
         lines(&world, "EntryUnreadable")
     );
     world.restart_server("e1", 2);
-    let back = world.quiet_night(Span::from_secs(1));
+    let back = world.send_light_load(Span::from_secs(1));
     world.run(Span::from_secs(5));
     assert_eq!(world.served_of(&back), back.len());
     world.check();
@@ -185,7 +185,7 @@
     world.write(EntryKey::Holder(name(ENGINES)), EntryValue::Unreadable);
     world.run(Span::from_secs(3));
     assert!(world.holder().is_some());
-    let numbers = world.quiet_night(Span::from_secs(2));
+    let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
     assert_eq!(world.served_of(&numbers), numbers.len());
     world.check();
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -94,13 +94,13 @@
     for vm in 0..STRONG {
         world.kill(vm, true);
     }
-    world.quiet_night(Span::from_secs(10));
+    world.send_light_load(Span::from_secs(10));
     let weak = world.holder().expect("a holder");
     assert!(weak >= STRONG, "vm{weak} holds");
     for vm in 0..STRONG {
         world.kill(vm, false);
     }
-    world.quiet_night(Span::from_secs(10));
+    world.send_light_load(Span::from_secs(10));
     let holder = world.holder().expect("a holder");
     assert!(holder < STRONG, "vm{holder} holds");
     world.check();
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -504,7 +504,7 @@
 
     /// The load of a quiet night for the span: a request every 40 ms for one of twelve adapters in turn, at the VMs that run;
     /// their numbers.
-    pub fn quiet_night(&mut self, span: Span) -> Vec<u64> {
+    pub fn send_light_load(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / QUIET_PAUSE.0).expect("small");
         let call = |at| setup::draft(&format!("r{at}"), &format!("a{}", at * 5 % 12));
         self.send_requests(count, QUIET_PAUSE, call)
