--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -37,7 +37,7 @@
     world.wake_watchers();
     world.run(Span::from_millis(900));
     world.say_leaving("e3");
-    world.busy_night(Span::from_secs(12));
+    world.send_heavy_load(Span::from_secs(12));
     check(&world, "e3", BOUND);
 }
 
@@ -49,7 +49,7 @@
     world.wake_watchers();
     world.run(Span::from_millis(900));
     world.say_leaving("p0");
-    world.busy_night(Span::from_secs(12));
+    world.send_heavy_load(Span::from_secs(12));
     check(&world, "p0", BOUND);
 }
 
@@ -67,10 +67,10 @@
     for server in ["e3", "p0"] {
         world.say_leaving(server);
     }
-    world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
     assert!(world.told_leaving("e3") && world.told_leaving("p0"));
     let since = world.now;
-    world.busy_night(Span::from_secs(6));
+    world.send_heavy_load(Span::from_secs(6));
     for server in ["e3", "p0"] {
         let got = requests_since(&world, server, since);
         assert_eq!(got, 0, "{server} got {got} requests");
@@ -84,20 +84,20 @@
     let mut world = World::warm(6);
     world.say_leaving("e3");
     world.say_leaving("p0");
-    world.busy_night(Span::from_secs(3));
+    world.send_heavy_load(Span::from_secs(3));
     let since = world.now;
     for server in ["e3", "p0"] {
         world.rewrite(server);
     }
-    world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
     for server in ["e3", "p0"] {
         world.unlist(server);
     }
-    world.busy_night(Span::from_secs(1));
+    world.send_heavy_load(Span::from_secs(1));
     for server in ["e3", "p0"] {
         world.rewrite(server);
     }
-    world.busy_night(Span::from_secs(4));
+    world.send_heavy_load(Span::from_secs(4));
     for server in ["e3", "p0"] {
         let got = requests_since(&world, server, since);
         assert_eq!(got, 0, "{server} got {got} requests");
@@ -111,14 +111,14 @@
     let mut world = World::warm(6);
     world.say_leaving("e3");
     world.say_leaving("p0");
-    world.busy_night(Span::from_secs(3));
+    world.send_heavy_load(Span::from_secs(3));
     world.stay("e3");
     world.stay("p0");
     world.restart_server("e3", 2);
     world.restart_server("p0", 2);
-    world.busy_night(Span::from_secs(3));
+    world.send_heavy_load(Span::from_secs(3));
     let since = world.now;
-    world.busy_night(Span::from_secs(4));
+    world.send_heavy_load(Span::from_secs(4));
     // Adapters that no engine holds go where there is room.
     world.send_requests(100, Span::from_millis(20), |at| {
         draft(&format!("n{at}"), &format!("b{}", at % 20))
@@ -140,13 +140,13 @@
     for server in 0..4 {
         world.say_leaving(&format!("p{server}"));
     }
-    let first = world.busy_night(Span::from_millis(900));
+    let first = world.send_heavy_load(Span::from_millis(900));
     world.run(Span::from_secs(1));
     world.check_served(&first, 90);
     // By then each of them was asked and has told a VM.
-    world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
     world.run(Span::from_secs(1));
-    let late = world.busy_night(Span::from_secs(2));
+    let late = world.send_heavy_load(Span::from_secs(2));
     world.run(Span::from_secs(2));
     for server in ["e0", "e7", "p0", "p3"] {
         check(&world, server, Span::from_millis(1_200));
@@ -162,8 +162,8 @@
         world.add_server(&format!("e{number}"), number, true);
     }
     world.add_server("p4", 4, false);
-    world.busy_night(Span::from_secs(2));
-    let back = world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
+    let back = world.send_heavy_load(Span::from_secs(2));
     world.run(Span::from_secs(2));
     world.check_served(&back, 90);
     world.check();
@@ -175,9 +175,9 @@
     let mut world = World::warm(6);
     world.store_up = false;
     world.wake_watchers();
-    world.busy_night(Span::from_secs(1));
+    world.send_heavy_load(Span::from_secs(1));
     world.say_leaving("e3");
-    world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
     for round in 0..3 {
         let holder = world.holder().unwrap_or(round);
         match round {
@@ -185,7 +185,7 @@
             1 => world.vms[holder].peers_reachable = false,
             _ => world.kill(holder, false),
         }
-        world.busy_night(Span::from_secs(4));
+        world.send_heavy_load(Span::from_secs(4));
         world.vms[holder].peers_reachable = true;
     }
     check(&world, "e3", BOUND);
@@ -234,11 +234,11 @@
     let weak = 5;
     let mut world = World::uneven(&[25, 25, 25, 25, 25, weak], 12, 4, Tuning::default());
     world.run(Span::from_secs(2));
-    world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
     for server in 0..12 {
         world.say_leaving(&format!("e{server}"));
     }
-    world.busy_night(Span::from_millis(1_500));
+    world.send_heavy_load(Span::from_millis(1_500));
     // The weak VM knows of it, and tells the scheduler that comes after all others were killed.
     let knows = 5;
     for vm in (0..6).filter(|vm| *vm != knows) {
@@ -263,12 +263,12 @@
     world.store_up = false;
     world.wake_watchers();
     world.say_leaving("p0");
-    world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
     // The only one in the availability zone of that server that is asked for plain services.
     world.kill(0, false);
     world.run(Span::from_secs(1));
     let since = world.now;
-    world.busy_night(Span::from_secs(4));
+    world.send_heavy_load(Span::from_secs(4));
     assert_eq!(requests_since(&world, "p0", since), 0);
     world.check();
 }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -18,7 +18,7 @@
     let mut world = World::warm(6);
     world.name_limit("e0", Some(Rate(1_000)));
     world.name_limit("e1", Some(Rate(1_900)));
-    world.busy_night(Span::from_secs(10));
+    world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
     world.check();
 }
@@ -29,7 +29,7 @@
     let mut world = World::warm(6);
     world.name_limit("p0", Some(Rate(1_000)));
     world.name_limit("p1", Some(Rate(200)));
-    world.busy_night(Span::from_secs(10));
+    world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
     world.check();
 }
@@ -41,9 +41,9 @@
         let mut world = World::warm(vms);
         world.name_limit("e0", Some(Rate(1_000)));
         world.name_limit("p0", Some(Rate(1_000)));
-        world.busy_night(Span::from_secs(4));
+        world.send_heavy_load(Span::from_secs(4));
         let since = world.now;
-        world.busy_night(Span::from_secs(8));
+        world.send_heavy_load(Span::from_secs(8));
         world.check_limits();
         world.check();
         // What it would take is not left unused either.
@@ -59,16 +59,16 @@
     for limit in [2_000, 200, 5_000, 500] {
         world.name_limit("e0", Some(Rate(limit)));
         world.name_limit("p0", Some(Rate(limit)));
-        world.busy_night(Span::from_secs(6));
+        world.send_heavy_load(Span::from_secs(6));
     }
     world.check_limits();
     world.name_limit("e0", None);
     world.name_limit("p0", None);
     // It is in the same availability zone.
     world.name_limit("p3", None);
-    world.busy_night(Span::from_secs(5));
+    world.send_heavy_load(Span::from_secs(5));
     let since = world.now;
-    world.busy_night(Span::from_secs(5));
+    world.send_heavy_load(Span::from_secs(5));
     let (freed, other) = (
         world.arrivals_at("p0", since),
         world.arrivals_at("p3", since),
@@ -83,13 +83,13 @@
     let mut world = World::warm(6);
     world.name_limit("e0", Some(Rate(0)));
     world.name_limit("p0", Some(Rate(0)));
-    world.busy_night(Span::from_secs(10));
+    world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
     world.name_limit("e0", None);
     world.name_limit("p0", None);
-    world.busy_night(Span::from_secs(15));
+    world.send_heavy_load(Span::from_secs(15));
     let since = world.now;
-    world.busy_night(Span::from_secs(5));
+    world.send_heavy_load(Span::from_secs(5));
     for server in ["e0", "p0"] {
         let got = world.arrivals_at(server, since);
         assert!(got >= 5, "{server}: {got} arrivals in 5 s");
@@ -104,7 +104,7 @@
     for server in ["p0", "p1", "p2", "p3"] {
         world.name_limit(server, Some(Rate(1_000)));
     }
-    world.busy_night(Span::from_secs(2));
+    world.send_heavy_load(Span::from_secs(2));
     let before = world.served();
     let since = world.now;
     let asked = world.send_requests(200, Span::from_millis(40), |at| {
@@ -146,8 +146,8 @@
     for server in 0..12 {
         world.name_limit(&format!("e{server}"), Some(Rate(1_000)));
     }
-    world.busy_night(Span::from_secs(3));
-    let asked = world.busy_night(Span::from_secs(8));
+    world.send_heavy_load(Span::from_secs(3));
+    let asked = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(6));
     world.check_limits();
     world.check();
@@ -166,7 +166,7 @@
     let mut world = World::warm(6);
     world.name_limit("e0", Some(Rate(1_000)));
     world.name_limit("e5", Some(Rate(500)));
-    world.busy_night(Span::from_secs(3));
+    world.send_heavy_load(Span::from_secs(3));
     for round in 0..4 {
         if let Some(holder) = world.holder() {
             match round {
@@ -176,13 +176,13 @@
                 _ => world.store_up = false,
             }
         }
-        world.busy_night(Span::from_secs(4));
+        world.send_heavy_load(Span::from_secs(4));
         for host in &mut world.vms {
             host.peers_reachable = true;
         }
     }
     world.store_up = true;
-    world.busy_night(Span::from_secs(3));
+    world.send_heavy_load(Span::from_secs(3));
     world.check_limits();
     world.check();
 }
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -33,7 +33,7 @@
     let mut world = World::warm(6);
     world.ask_rest("e0", Some(REST));
     world.ask_rest("e1", Some(REST));
-    world.busy_night(Span::from_secs(8));
+    world.send_heavy_load(Span::from_secs(8));
     check(&world, "e0");
     check(&world, "e1");
 }
@@ -43,7 +43,7 @@
 fn rest_askedbyplainservers() {
     let mut world = World::warm(6);
     world.ask_rest("p0", Some(REST));
-    world.busy_night(Span::from_secs(8));
+    world.send_heavy_load(Span::from_secs(8));
     check(&world, "p0");
 }
 
@@ -62,7 +62,7 @@
     for server in 0..4 {
         world.ask_rest(&format!("e{server}"), Some(REST));
     }
-    let asked = world.busy_night(Span::from_secs(9));
+    let asked = world.send_heavy_load(Span::from_secs(9));
     world.run(Span::from_secs(2));
     for server in 0..4 {
         check(&world, &format!("e{server}"));
@@ -84,13 +84,13 @@
     let mut world = World::warm(6);
     world.ask_rest("e0", Some(REST));
     world.ask_rest("p0", Some(REST));
-    world.busy_night(Span::from_secs(4));
+    world.send_heavy_load(Span::from_secs(4));
     let loads = world.servers["e0"].0.loads;
     world.ask_rest("e0", None);
     world.ask_rest("p0", None);
-    world.busy_night(REST);
+    world.send_heavy_load(REST);
     let since = world.now;
-    world.busy_night(Span::from_secs(4));
+    world.send_heavy_load(Span::from_secs(4));
     let got = |server: &str| world.arrivals_at(server, since);
     assert!(
         got("e0") >= 5 && got("p0") >= 5,
@@ -113,8 +113,8 @@
     for server in 0..4 {
         world.ask_rest(&format!("p{server}"), Some(REST));
     }
-    world.busy_night(Span::from_secs(1));
-    let asked = world.busy_night(Span::from_secs(8));
+    world.send_heavy_load(Span::from_secs(1));
+    let asked = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(6));
     for server in ["e0", "e7", "p0", "p3"] {
         check(&world, server);
@@ -138,7 +138,7 @@
     world.ask_rest("e1", Some(Span::from_secs(600)));
     world.ask_rest("p0", Some(Span::ZERO));
     world.ask_rest("p1", Some(Span::from_secs(600)));
-    let asked = world.busy_night(Span::from_secs(8));
+    let asked = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(2));
     check(&world, "e1");
     check(&world, "p1");
@@ -152,7 +152,7 @@
     world.ask_rest("e0", Some(REST));
     world.ask_rest("e5", Some(REST));
     for round in 0..4 {
-        world.busy_night(Span::from_secs(1));
+        world.send_heavy_load(Span::from_secs(1));
         let holder = world.holder().unwrap_or(round);
         match round {
             0 => world.kill(holder, false),
@@ -160,7 +160,7 @@
             2 => world.vms[holder].peers_reachable = false,
             _ => world.store_up = false,
         }
-        world.busy_night(Span::from_secs(4));
+        world.send_heavy_load(Span::from_secs(4));
         world.vms[holder].peers_reachable = true;
     }
     check(&world, "e0");
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -514,13 +514,13 @@
     pub fn warm(vms: usize) -> Self {
         let mut world = Self::new(vms, 12, 4);
         world.run(Span::from_secs(2));
-        world.busy_night(Span::from_secs(2));
+        world.send_heavy_load(Span::from_secs(2));
         world
     }
 
     /// The load of a busy night for the span: each 20 ms a request for one of sixty adapters in turn, and each fourth time one to a
     /// plain service; their numbers.
-    pub fn busy_night(&mut self, span: Span) -> Vec<u64> {
+    pub fn send_heavy_load(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / BUSY_PAUSE.0).expect("small");
         self.send_requests(count, BUSY_PAUSE, setup::mixed)
     }
