--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -32,7 +32,7 @@
 /// Guards against VMs that hear of it from the key-value service alone, which is away for as long.
 #[test]
 fn leaving_engineinanoutage() {
-    let mut world = World::warm(9);
+    let mut world = World::under_load(9);
     world.store_up = false;
     world.wake_watchers();
     world.run(Span::from_millis(900));
@@ -44,7 +44,7 @@
 /// The same for a plain service, for which each VM chooses by itself.
 #[test]
 fn leaving_plainserverinanoutage() {
-    let mut world = World::warm(9);
+    let mut world = World::under_load(9);
     world.store_up = false;
     world.wake_watchers();
     world.run(Span::from_millis(900));
@@ -63,7 +63,7 @@
 /// What one VM heard, the others take note of before each is told by itself.
 #[test]
 fn leaving_onevmtellsall() {
-    let mut world = World::warm(24);
+    let mut world = World::under_load(24);
     for server in ["e3", "p0"] {
         world.say_leaving(server);
     }
@@ -81,7 +81,7 @@
 /// An entry that is written anew as it was, or lapses and is back, says nothing newer than the server itself.
 #[test]
 fn leaving_olderwordundoesnothing() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.say_leaving("e3");
     world.say_leaving("p0");
     world.send_heavy_load(Span::from_secs(3));
@@ -108,7 +108,7 @@
 /// A server that starts again under the id that it had is as good as any.
 #[test]
 fn leaving_startsagain() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.say_leaving("e3");
     world.say_leaving("p0");
     world.send_heavy_load(Span::from_secs(3));
@@ -133,7 +133,7 @@
 /// All servers of both services leave at once: until others come they are used for a while, and then callers are refused at once.
 #[test]
 fn leaving_allatonce() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     for server in 0..12 {
         world.say_leaving(&format!("e{server}"));
     }
@@ -172,7 +172,7 @@
 /// The scheduler's VM is killed, stands still, is cut off from the others, and none schedules.
 #[test]
 fn leaving_schedulerchanges() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.store_up = false;
     world.wake_watchers();
     world.send_heavy_load(Span::from_secs(1));
@@ -259,7 +259,7 @@
 /// A VM that starts hears what servers said to others before it sends them anything.
 #[test]
 fn leaving_newvmistold() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.store_up = false;
     world.wake_watchers();
     world.say_leaving("p0");
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -15,7 +15,7 @@
 /// Guards against a fleet whose VMs don't read the limit that an engine names.
 #[test]
 fn limit_namedbyengines() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.name_limit("e0", Some(Rate(1_000)));
     world.name_limit("e1", Some(Rate(1_900)));
     world.send_heavy_load(Span::from_secs(10));
@@ -26,7 +26,7 @@
 /// The same for a plain service, for which each VM chooses by itself.
 #[test]
 fn limit_namedbyplainservers() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.name_limit("p0", Some(Rate(1_000)));
     world.name_limit("p1", Some(Rate(200)));
     world.send_heavy_load(Span::from_secs(10));
@@ -38,7 +38,7 @@
 #[test]
 fn limit_belowoneforeachvm() {
     for vms in [70, 300] {
-        let mut world = World::warm(vms);
+        let mut world = World::under_load(vms);
         world.name_limit("e0", Some(Rate(1_000)));
         world.name_limit("p0", Some(Rate(1_000)));
         world.send_heavy_load(Span::from_secs(4));
@@ -55,7 +55,7 @@
 /// A limit that rises and falls, and is no more; then the server gets as much as others soon.
 #[test]
 fn limit_changesandends() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     for limit in [2_000, 200, 5_000, 500] {
         world.name_limit("e0", Some(Rate(limit)));
         world.name_limit("p0", Some(Rate(limit)));
@@ -80,7 +80,7 @@
 /// A server that takes nothing at all is asked now and then whether that has ended.
 #[test]
 fn limit_nothingatall() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.name_limit("e0", Some(Rate(0)));
     world.name_limit("p0", Some(Rate(0)));
     world.send_heavy_load(Span::from_secs(10));
@@ -100,7 +100,7 @@
 /// All servers of a service name a limit below the load: what they take is used, and the rest refused at once, at times that differ.
 #[test]
 fn limit_allplainservers() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     for server in ["p0", "p1", "p2", "p3"] {
         world.name_limit(server, Some(Rate(1_000)));
     }
@@ -142,7 +142,7 @@
 /// All engines do.
 #[test]
 fn limit_allengines() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     for server in 0..12 {
         world.name_limit(&format!("e{server}"), Some(Rate(1_000)));
     }
@@ -163,7 +163,7 @@
 /// The scheduler's VM is killed, stands still, is cut off from the others, and none schedules while the key-value service is away.
 #[test]
 fn limit_schedulerchanges() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.name_limit("e0", Some(Rate(1_000)));
     world.name_limit("e5", Some(Rate(500)));
     world.send_heavy_load(Span::from_secs(3));
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -30,7 +30,7 @@
 /// Guards against VMs that don't read for how long an engine wants nothing of them.
 #[test]
 fn rest_askedbyengines() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.ask_rest("e0", Some(REST));
     world.ask_rest("e1", Some(REST));
     world.send_heavy_load(Span::from_secs(8));
@@ -41,7 +41,7 @@
 /// The same for a plain service, for which each VM chooses by itself.
 #[test]
 fn rest_askedbyplainservers() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.ask_rest("p0", Some(REST));
     world.send_heavy_load(Span::from_secs(8));
     check(&world, "p0");
@@ -57,7 +57,7 @@
 /// and none waits for it.
 #[test]
 fn rest_manyservers() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     let since = world.now;
     for server in 0..4 {
         world.ask_rest(&format!("e{server}"), Some(REST));
@@ -81,7 +81,7 @@
 /// that it had.
 #[test]
 fn rest_ends() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.ask_rest("e0", Some(REST));
     world.ask_rest("p0", Some(REST));
     world.send_heavy_load(Span::from_secs(4));
@@ -106,7 +106,7 @@
 /// All servers of both services rest: callers are refused at once, and told times at which they don't come back together.
 #[test]
 fn rest_allatonce() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     for server in 0..12 {
         world.ask_rest(&format!("e{server}"), Some(REST));
     }
@@ -133,7 +133,7 @@
 /// No rest at all, and one that is longer than any outage.
 #[test]
 fn rest_noneandlong() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.ask_rest("e0", Some(Span::ZERO));
     world.ask_rest("e1", Some(Span::from_secs(600)));
     world.ask_rest("p0", Some(Span::ZERO));
@@ -148,7 +148,7 @@
 /// The scheduler's VM is killed, stands still, is cut off from the others, and none schedules: each VM keeps what it was asked.
 #[test]
 fn rest_schedulerchanges() {
-    let mut world = World::warm(6);
+    let mut world = World::under_load(6);
     world.ask_rest("e0", Some(REST));
     world.ask_rest("e5", Some(REST));
     for round in 0..4 {
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -511,7 +511,7 @@
     }
 
     /// A fleet of 12 engines and 4 plain servers after some seconds of a busy night.
-    pub fn warm(vms: usize) -> Self {
+    pub fn under_load(vms: usize) -> Self {
         let mut world = Self::new(vms, 12, 4);
         world.run(Span::from_secs(2));
         world.send_heavy_load(Span::from_secs(2));
