--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -27,7 +27,7 @@
     let mut world = ready();
     let number = world.send_request(1, call("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))));
     world.run(Span::from_secs(2));
-    let first = world.first_piece(number).expect("served");
+    let first = world.time_to_first_chunk(number).expect("served");
     assert!(first < Span::from_millis(500), "{first}");
     world.check();
 }
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -50,7 +50,7 @@
         call("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(8));
-    let first = world.first_piece(cold).expect("served");
+    let first = world.time_to_first_chunk(cold).expect("served");
     // The lease of 2 s, the gap between candidates, and the load.
     assert!(first < Span::from_millis(3_000), "{first}");
     world.check();
@@ -70,7 +70,7 @@
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(2));
-    assert!(world.first_piece(cold).expect("served") < Span::from_millis(700));
+    assert!(world.time_to_first_chunk(cold).expect("served") < Span::from_millis(700));
     world.check();
 }
 
@@ -115,7 +115,7 @@
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(2));
-    assert!(world.first_piece(cold).is_some());
+    assert!(world.time_to_first_chunk(cold).is_some());
     world.store_up = true;
     world.run(Span::from_secs(4));
     assert_eq!(world.holder(), old);
@@ -139,7 +139,7 @@
         };
         world.run(Span::from_millis(offset));
         let first = ask(&mut world, "first");
-        while world.first_piece(first).is_none() {
+        while world.time_to_first_chunk(first).is_none() {
             world.run(Span::from_millis(5));
         }
         world.kill(old, true);
@@ -180,7 +180,7 @@
         .filter(|n| world.requests[n].vm == vm)
         .collect();
     assert_eq!(world.served_of(&mine), mine.len());
-    assert!(world.first_piece(cold).expect("served") < Span::from_millis(700));
+    assert!(world.time_to_first_chunk(cold).expect("served") < Span::from_millis(700));
     world.check();
 }
 
@@ -215,7 +215,7 @@
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(4));
-    let first = world.first_piece(cold).expect("served");
+    let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(800), "{first}");
     world.check();
 }
@@ -233,7 +233,7 @@
         call("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(8));
-    let first = world.first_piece(cold).expect("served");
+    let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(2_000), "{first}");
     world.check();
 }
@@ -256,7 +256,7 @@
             call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
         );
         world.run(Span::from_secs(4));
-        let first = world.first_piece(cold).expect("served");
+        let first = world.time_to_first_chunk(cold).expect("served");
         assert!(first < Span::from_millis(900), "{first}");
         world.check();
     }
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -148,7 +148,7 @@
     world.run(Span::from_secs(5));
     let begun = numbers
         .iter()
-        .filter_map(|number| world.first_piece(*number));
+        .filter_map(|number| world.time_to_first_chunk(*number));
     let begun: Vec<Span> = begun.collect();
     let latest = begun.iter().max().copied();
     assert_eq!(begun.len(), numbers.len());
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -122,7 +122,7 @@
             call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
         );
         world.run(Span::from_secs(4));
-        let first = world.first_piece(cold).expect("served");
+        let first = world.time_to_first_chunk(cold).expect("served");
         assert!(first < Span::from_millis(1_500), "{first}, lapse {lapse}");
         world.check();
     }
@@ -340,7 +340,7 @@
         call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(4));
-    let first = world.first_piece(cold).expect("served");
+    let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(450), "{first}");
     one_at_a_time(&world);
     world.check();
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -109,7 +109,7 @@
     world.run(Span::from_millis(400));
     let number = world.send_request(0, draft("r", "a9"));
     world.run(Span::from_secs(2));
-    assert!(world.first_piece(number).is_some());
+    assert!(world.time_to_first_chunk(number).is_some());
     world.check();
 }
 
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -594,7 +594,7 @@
     }
 
     /// The time to the first piece of a request, where it was served.
-    pub fn first_piece(&self, number: u64) -> Option<Span> {
+    pub fn time_to_first_chunk(&self, number: u64) -> Option<Span> {
         let asked = &self.requests[&number];
         match &asked.ended {
             Some((_, Answer::Served(begun))) => Some(begun.since(asked.at)),
