--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -43,7 +43,7 @@
         world.run(Span::from_millis(600));
     }
     let loads: u32 = world.servers.values().map(|(e, _)| e.loads).sum();
-    assert_eq!((world.served(), loads), (10, 1));
+    assert_eq!((world.total_served(), loads), (10, 1));
     world.check();
 }
 
@@ -114,6 +114,10 @@
         world.run(Span::from_millis(60));
     }
     world.run(Span::from_secs(6));
-    assert!(world.served() >= 190, "{} served", world.served());
+    assert!(
+        world.total_served() >= 190,
+        "{} served",
+        world.total_served()
+    );
     world.check();
 }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -105,7 +105,7 @@
         world.name_limit(server, Some(Rate(1_000)));
     }
     world.send_heavy_load(Span::from_secs(2));
-    let before = world.served();
+    let before = world.total_served();
     let since = world.now;
     let asked = world.send_requests(200, Span::from_millis(40), |at| {
         call(&format!("s{at}"), "/query/x", 2_000, None)
@@ -113,7 +113,7 @@
     world.run(Span::from_secs(3));
     world.check_limits();
     world.check();
-    let served = world.served() - before;
+    let served = world.total_served() - before;
     assert!(
         (24..=48).contains(&served),
         "{served} served in 8 s at 4 a second"
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -574,7 +574,7 @@
     }
 
     /// How many requests were served.
-    pub fn served(&self) -> usize {
+    pub fn total_served(&self) -> usize {
         self.requests
             .values()
             .filter(|a| matches!(a.ended, Some((_, Answer::Served(_)))))
