--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -87,7 +87,7 @@
     let numbers = world.send_requests(120, Span::ZERO, call);
     assert_eq!(numbers.len(), 120);
     world.run(Span::from_secs(3));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     world.check();
 }
 
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -376,7 +376,7 @@
         let numbers = world.send_requests(10, REPEATED, ask);
         world.run(Span::from_secs(5));
         if mended {
-            assert_eq!(world.served_of(&numbers), numbers.len());
+            assert_eq!(world.count_served(&numbers), numbers.len());
         } else {
             let more = world.crashing.ends.len() - ends;
             assert!(more <= 1, "{more} servers ended");
@@ -524,6 +524,6 @@
     );
     let numbers = world.send_requests(6, Span::from_millis(100), long);
     world.run(Span::from_secs(8));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     check_others(&world);
 }
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -58,7 +58,7 @@
             numbers.extend(world.send_requests(50, Span::from_millis(40), call));
         }
         world.run(Span::from_secs(6));
-        let (served, all) = (world.served_of(&numbers), numbers.len());
+        let (served, all) = (world.count_served(&numbers), numbers.len());
         assert!(
             served * 10 >= all * 7,
             "{served} of {all} without {without}"
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -293,7 +293,7 @@
         .map(|vm| world.send_request(vm, support::setup::call("q", "/query/x", 2_000, None)))
         .collect();
     world.run(Span::from_millis(400));
-    world.served_of(&asked) == asked.len()
+    world.count_served(&asked) == asked.len()
 }
 
 /// A server's entry goes and is there again as it was, both between two watches: VMs that follow hear of both, or they take the
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -41,7 +41,7 @@
     fail(&mut world, &all, false);
     let after = traffic(&mut world, Span::from_secs(3));
     world.run(Span::from_secs(5));
-    let good = world.served_of(&after);
+    let good = world.count_served(&after);
     assert!(good * 100 >= after.len() * 97, "{good} of {}", after.len());
     world.check();
 }
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -34,7 +34,7 @@
     let new = world.holder().expect("a holder");
     assert_ne!(old, new);
     world.run(Span::from_secs(5));
-    let (all, good) = (numbers.len(), world.served_of(&numbers));
+    let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 100 >= all * 97, "{good} of {all}");
     world.check();
 }
@@ -119,7 +119,7 @@
     world.store_up = true;
     world.run(Span::from_secs(4));
     assert_eq!(world.holder(), old);
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     world.check();
 }
 
@@ -145,7 +145,7 @@
         world.kill(old, true);
         let again = ask(&mut world, "again");
         world.run(Span::from_secs(5));
-        assert_eq!(world.served_of(&[first, again]), 2, "offset {offset}");
+        assert_eq!(world.count_served(&[first, again]), 2, "offset {offset}");
         world.check();
     }
 }
@@ -179,7 +179,7 @@
         .into_iter()
         .filter(|n| world.requests[n].vm == vm)
         .collect();
-    assert_eq!(world.served_of(&mine), mine.len());
+    assert_eq!(world.count_served(&mine), mine.len());
     assert!(world.time_to_first_chunk(cold).expect("served") < Span::from_millis(700));
     world.check();
 }
@@ -197,7 +197,7 @@
         .into_iter()
         .filter(|n| world.requests[n].vm == vm)
         .collect();
-    assert_eq!(world.served_of(&mine), mine.len());
+    assert_eq!(world.count_served(&mine), mine.len());
     world.check();
 }
 
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -151,7 +151,7 @@
     world.run(Span::from_secs(6));
     world.check_limits();
     world.check();
-    let served = world.served_of(&asked);
+    let served = world.count_served(&asked);
     assert!(served >= 60, "{served} served in 8 s at 12 a second");
     let longest = world.longest_refused(&asked);
     assert!(
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -43,7 +43,7 @@
         loads(&world)
     );
     assert!(loads(&world) >= 3, "{} loads", loads(&world));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     world.check();
 }
 
@@ -59,7 +59,7 @@
     };
     let numbers = world.send_requests(320, Span::from_millis(15), rare);
     world.run(Span::from_secs(16));
-    let good = world.served_of(&numbers);
+    let good = world.count_served(&numbers);
     let refused = world.refused_of(&numbers);
     let late = late(&refused);
     assert_eq!(good + refused.len(), numbers.len());
@@ -80,7 +80,7 @@
     world.run(Span::from_secs(2));
     let numbers = world.send_requests(240, Span::from_millis(24), busy);
     world.run(Span::from_secs(6));
-    let good = world.served_of(&numbers);
+    let good = world.count_served(&numbers);
     let refused = world.refused_of(&numbers);
     let late = late(&refused);
     assert_eq!(good + refused.len(), numbers.len());
@@ -108,7 +108,7 @@
     };
     let numbers = world.send_requests(600, Span::from_millis(40), rare);
     world.run(Span::from_secs(16));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     world.check();
     let fetches = world.servers.values().map(|(engine, _)| engine.fetches);
     let arrivals = numbers.iter().map(|number| world.requests[number].arrivals);
@@ -173,7 +173,7 @@
     let fetches = world.servers.values().map(|(engine, _)| engine.fetches);
     let fetches: u32 = fetches.sum();
     assert!(fetches <= 126, "{fetches} fetches for 120 adapters");
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     world.check();
 }
 
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -60,13 +60,13 @@
     world.unlist("e1");
     let after = churn(&mut world, Span::from_secs(3), "c");
     world.run(Span::from_secs(5));
-    let good = world.served_of(&during);
+    let good = world.count_served(&during);
     assert!(
         good * 100 >= during.len() * 70,
         "{good} of {} during",
         during.len()
     );
-    let good = world.served_of(&after);
+    let good = world.count_served(&after);
     assert!(
         good * 100 >= after.len() * 95,
         "{good} of {} after",
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -175,7 +175,7 @@
     let numbers = world.send_requests(80, Span::from_millis(100), cold);
     world.store_up = true;
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(world.holder(), old);
     one_at_a_time(&world);
     world.check();
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -47,7 +47,7 @@
         world.run(Span::from_millis(20));
         let numbers = world.send_light_load(Span::from_secs(3));
         world.run(Span::from_secs(5));
-        assert_eq!(world.served_of(&numbers), numbers.len());
+        assert_eq!(world.count_served(&numbers), numbers.len());
         assert_eq!(again(&world, &numbers), 0, "start {start}");
         assert_eq!(lines(&world, "ServerRestarted"), 3);
         world.check();
@@ -69,7 +69,7 @@
     world.late_orders = 0.0;
     numbers.extend(world.send_light_load(Span::from_secs(14)));
     world.run(Span::from_secs(5));
-    let (all, good) = (numbers.len(), world.served_of(&numbers));
+    let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 10 >= all * 9, "{good} of {all}");
     world.check();
 }
@@ -85,7 +85,7 @@
     world.write(EntryKey::Server(name("e1")), EntryValue::Server(earlier));
     let numbers = world.send_light_load(Span::from_secs(3));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(again(&world, &numbers), 0);
     world.check();
 }
@@ -135,7 +135,7 @@
     world.run(Span::from_millis(200));
     let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(again(&world, &numbers), 0);
     assert!(
         lines(&world, "EntryUnreadable") <= 9,
@@ -145,7 +145,7 @@
     world.restart_server("e1", 2);
     let back = world.send_light_load(Span::from_secs(1));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&back), back.len());
+    assert_eq!(world.count_served(&back), back.len());
     world.check();
 }
 
@@ -167,7 +167,7 @@
     let post = |at| support::setup::call(&format!("p{at}"), "/post/x", 2_000, None);
     let numbers = world.send_requests(40, PAUSE, post);
     world.run(Span::from_secs(3));
-    assert_eq!(world.served_of(&numbers), 40);
+    assert_eq!(world.count_served(&numbers), 40);
     assert_eq!(again(&world, &numbers), 0);
     world.check();
 }
@@ -187,7 +187,7 @@
     assert!(world.holder().is_some());
     let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     world.check();
 }
 
@@ -214,9 +214,9 @@
     world.run(Span::from_secs(5));
     let last = world.send_requests(10, PAUSE, |at| draft(&format!("z{at}"), "a5"));
     world.run(Span::from_secs(9));
-    let (all, good) = (numbers.len(), world.served_of(&numbers));
+    let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 100 >= all * 95, "{good} of {all}");
-    assert_eq!(world.served_of(&last), last.len());
+    assert_eq!(world.count_served(&last), last.len());
     let ran = last
         .iter()
         .flat_map(|number| &world.requests[number].versions);
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -582,14 +582,14 @@
     }
 
     /// How many of these requests were served.
-    pub fn served_of(&self, numbers: &[u64]) -> usize {
+    pub fn count_served(&self, numbers: &[u64]) -> usize {
         let served = |n: &&u64| matches!(self.answer(**n), Some(Answer::Served(_)));
         numbers.iter().filter(served).count()
     }
 
     /// That so many in a hundred of these requests were served.
     pub fn check_served(&self, numbers: &[u64], percent: usize) {
-        let (good, all) = (self.served_of(numbers), numbers.len());
+        let (good, all) = (self.count_served(numbers), numbers.len());
         assert!(good * 100 >= all * percent, "{good} of {all}");
     }
 
