--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -151,7 +151,7 @@
     for server in ["e0", "e7", "p0", "p3"] {
         check(&world, server, Span::from_millis(1_200));
     }
-    let held = world.refused_of(&late);
+    let held = world.refusal_delays(&late);
     let longest = world.longest_refused(&late);
     assert_eq!(held.len(), late.len(), "some were not refused");
     assert!(
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -118,7 +118,7 @@
         (24..=48).contains(&served),
         "{served} served in 8 s at 4 a second"
     );
-    let held = world.refused_of(&asked);
+    let held = world.refusal_delays(&asked);
     let longest = world.longest_refused(&asked);
     assert!(
         longest <= Span::from_millis(300),
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -60,7 +60,7 @@
     let numbers = world.send_requests(320, Span::from_millis(15), rare);
     world.run(Span::from_secs(16));
     let good = world.count_served(&numbers);
-    let refused = world.refused_of(&numbers);
+    let refused = world.refusal_delays(&numbers);
     let late = late(&refused);
     assert_eq!(good + refused.len(), numbers.len());
     assert!(
@@ -81,7 +81,7 @@
     let numbers = world.send_requests(240, Span::from_millis(24), busy);
     world.run(Span::from_secs(6));
     let good = world.count_served(&numbers);
-    let refused = world.refused_of(&numbers);
+    let refused = world.refusal_delays(&numbers);
     let late = late(&refused);
     assert_eq!(good + refused.len(), numbers.len());
     assert!(
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -119,7 +119,7 @@
     for server in ["e0", "e7", "p0", "p3"] {
         check(&world, server);
     }
-    let held = world.refused_of(&asked);
+    let held = world.refusal_delays(&asked);
     let longest = world.longest_refused(&asked);
     assert_eq!(held.len(), asked.len(), "some were not refused");
     assert!(
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -526,7 +526,7 @@
     }
 
     /// How long each of these requests was held that was refused.
-    pub fn refused_of(&self, numbers: &[u64]) -> Vec<Span> {
+    pub fn refusal_delays(&self, numbers: &[u64]) -> Vec<Span> {
         let held = |number: &u64| {
             let asked = &self.requests[number];
             match &asked.ended {
@@ -539,7 +539,7 @@
 
     /// The longest time that one of these requests was held that was refused.
     pub fn longest_refused(&self, numbers: &[u64]) -> Span {
-        let held = self.refused_of(numbers);
+        let held = self.refusal_delays(numbers);
         held.into_iter().max().unwrap_or_default()
     }
 
