--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -152,7 +152,7 @@
         check(&world, server, Span::from_millis(1_200));
     }
     let held = world.refusal_delays(&late);
-    let longest = world.longest_refused(&late);
+    let longest = world.longest_refusal_delay(&late);
     assert_eq!(held.len(), late.len(), "some were not refused");
     assert!(
         longest <= Span::from_millis(300),
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -119,7 +119,7 @@
         "{served} served in 8 s at 4 a second"
     );
     let held = world.refusal_delays(&asked);
-    let longest = world.longest_refused(&asked);
+    let longest = world.longest_refusal_delay(&asked);
     assert!(
         longest <= Span::from_millis(300),
         "one was held for {longest}"
@@ -153,7 +153,7 @@
     world.check();
     let served = world.count_served(&asked);
     assert!(served >= 60, "{served} served in 8 s at 12 a second");
-    let longest = world.longest_refused(&asked);
+    let longest = world.longest_refusal_delay(&asked);
     assert!(
         longest <= Span::from_millis(1_300),
         "one was held for {longest}"
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -120,7 +120,7 @@
         check(&world, server);
     }
     let held = world.refusal_delays(&asked);
-    let longest = world.longest_refused(&asked);
+    let longest = world.longest_refusal_delay(&asked);
     assert_eq!(held.len(), asked.len(), "some were not refused");
     assert!(
         longest <= Span::from_millis(1_200),
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -538,7 +538,7 @@
     }
 
     /// The longest time that one of these requests was held that was refused.
-    pub fn longest_refused(&self, numbers: &[u64]) -> Span {
+    pub fn longest_refusal_delay(&self, numbers: &[u64]) -> Span {
         let held = self.refusal_delays(numbers);
         held.into_iter().max().unwrap_or_default()
     }
