--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -38,7 +38,7 @@
     let used = f64::from(repeats(&world, &numbers));
     assert!(used <= allowed, "{used} of {allowed}");
     assert!(used >= allowed / 2.0, "{used} of {allowed}");
-    world.check();
+    world.check_invariants();
 }
 
 /// A VM that never has to send again keeps no more than a window of its requests: it did so only where one was sent again,
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -85,7 +85,7 @@
         world.configure(config(9));
         world.run(Span::from_secs(2));
         assert_eq!(versions(&world, 9), vms);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -109,7 +109,7 @@
         let made = made + calls(&mut world, Span::from_secs(7));
         let most = (FEW + FEW_AWAY) * 9 + 9 * vms as u64;
         assert!(made <= most, "{vms} VMs made {made} calls");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -125,7 +125,7 @@
         let most = FEW * 3 + 4 * vms as u64 + 20;
         assert!(made <= most, "{vms} VMs made {made} calls");
         assert!(world.holder().is_some());
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -146,6 +146,6 @@
         world.configure(config(9));
         world.run(Span::from_secs(2));
         assert_eq!(versions(&world, 9), vms - 6, "of {vms}");
-        world.check();
+        world.check_invariants();
     }
 }
--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -19,7 +19,7 @@
     let number = world.send_request(0, call("a", "/query/x", 4_000, None));
     world.run(Span::from_secs(1));
     assert!(matches!(world.answer(number), Some(Answer::Served(_))));
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -29,7 +29,7 @@
     world.run(Span::from_secs(2));
     let first = world.time_to_first_chunk(number).expect("served");
     assert!(first < Span::from_millis(500), "{first}");
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -44,7 +44,7 @@
     }
     let loads: u32 = world.servers.values().map(|(e, _)| e.loads).sum();
     assert_eq!((world.total_served(), loads), (10, 1));
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -88,7 +88,7 @@
     assert_eq!(numbers.len(), 120);
     world.run(Span::from_secs(3));
     assert_eq!(world.count_served(&numbers), numbers.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// A caller leaves before the configuration is there: nothing is sent for it.
@@ -99,7 +99,7 @@
     world.disconnect_caller(number);
     world.run(Span::from_secs(2));
     assert_eq!(world.requests[&number].arrivals, 0);
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -119,5 +119,5 @@
         "{} served",
         world.total_served()
     );
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -84,7 +84,7 @@
             asked.call.id
         );
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// One of so many requests for a long answer, which come again and again; it may go on at another server.
@@ -381,7 +381,7 @@
             let more = world.crashing.ends.len() - ends;
             assert!(more <= 1, "{more} servers ended");
         }
-        world.check();
+        world.check_invariants();
     }
 }
 
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -63,6 +63,6 @@
             served * 10 >= all * 7,
             "{served} of {all} without {without}"
         );
-        world.check();
+        world.check_invariants();
     }
 }
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -71,7 +71,7 @@
     world.configure(config(8));
     world.run(Span::from_millis(1_600));
     assert_eq!(versions(&world), vec![8; 9]);
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -175,7 +175,7 @@
     // Each VM that follows asks and is answered each 300 ms, and the scheduler speaks to all five times a second.
     let sent = world.messages - sent;
     assert!(sent <= 2 * 9 * 17 + 11 * 5 * 6, "{sent} messages");
-    world.check();
+    world.check_invariants();
 }
 
 /// Where one of the VMs that watch for all stands still, those that followed it follow another one: with 300 VMs, a hundred
@@ -199,7 +199,7 @@
         assert!(watch <= 4, "{watch} watch");
         churn(&mut world, Span::from_secs(4));
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// The key-value service cuts the watches of the VMs that watch for all and answers none of their calls, so that all others
@@ -225,7 +225,7 @@
     // 21 VMs alone for ten seconds, each with a call in 400 ms and two renewals a second, and some lists and entries.
     let most = 21 * (25 + 20 + 10);
     assert!(calls <= most, "{calls} calls");
-    world.check();
+    world.check_invariants();
 }
 
 /// A configuration that is written right after an outage, while some VMs watch, some follow, and each hears of it by another
@@ -316,7 +316,7 @@
     }
     world.run(Span::from_secs(1));
     assert!(all_serve(&mut world));
-    world.check();
+    world.check_invariants();
 }
 
 /// All entries lapse in an outage, and servers write theirs again a second after it, as they were: nobody takes them for gone
@@ -339,7 +339,7 @@
         }
         world.run(Span::from_secs(4));
         assert!(all_serve(&mut world), "back after {back} ms");
-        world.check();
+        world.check_invariants();
     }
 }
 
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -43,7 +43,7 @@
     world.run(Span::from_secs(5));
     let good = world.count_served(&after);
     assert!(good * 100 >= after.len() * 97, "{good} of {}", after.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// One engine of four fails for good while it looks well: the others must serve nearly all.
@@ -55,7 +55,7 @@
     let numbers = traffic(&mut world, Span::from_secs(4));
     world.run(Span::from_secs(5));
     world.check_served(&numbers, 90);
-    world.check();
+    world.check_invariants();
 }
 
 /// An engine that failed and is well again gets work again.
@@ -75,7 +75,7 @@
             .count()
             > 0
     );
-    world.check();
+    world.check_invariants();
 }
 
 /// A request that its server failed leaves it once: the others there still count for whoever chooses a server.
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -22,7 +22,7 @@
 fn holder_isone() {
     let world = warm();
     assert!(world.holder().is_some());
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -36,7 +36,7 @@
     world.run(Span::from_secs(5));
     let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 100 >= all * 97, "{good} of {all}");
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -53,7 +53,7 @@
     let first = world.time_to_first_chunk(cold).expect("served");
     // The lease of 2 s, the gap between candidates, and the load.
     assert!(first < Span::from_millis(3_000), "{first}");
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -71,7 +71,7 @@
     );
     world.run(Span::from_secs(2));
     assert!(world.time_to_first_chunk(cold).expect("served") < Span::from_millis(700));
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -87,7 +87,7 @@
         .filter(|n| world.requests[n].vm != old)
         .collect();
     world.check_served(&others, 95);
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -100,7 +100,7 @@
     assert_ne!(world.holder(), Some(old));
     world.run(Span::from_secs(5));
     world.check_served(&numbers, 97);
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -120,7 +120,7 @@
     world.run(Span::from_secs(4));
     assert_eq!(world.holder(), old);
     assert_eq!(world.count_served(&numbers), numbers.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// Without the key-value service and without a holder a VM still serves the adapters of its own last requests, also one that
@@ -146,7 +146,7 @@
         let again = ask(&mut world, "again");
         world.run(Span::from_secs(5));
         assert_eq!(world.count_served(&[first, again]), 2, "offset {offset}");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -160,7 +160,7 @@
     let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
     world.check_served(&numbers, 95);
-    world.check();
+    world.check_invariants();
 }
 
 /// The key-value service turns one VM away and takes its keys: the others must still reach it.
@@ -181,7 +181,7 @@
         .collect();
     assert_eq!(world.count_served(&mine), mine.len());
     assert!(world.time_to_first_chunk(cold).expect("served") < Span::from_millis(700));
-    world.check();
+    world.check_invariants();
 }
 
 /// The same for the scheduler's own VM.
@@ -198,7 +198,7 @@
         .filter(|n| world.requests[n].vm == vm)
         .collect();
     assert_eq!(world.count_served(&mine), mine.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// All processes are killed and start again: the old holder's key is still there, and waiting for its lease to end would
@@ -217,7 +217,7 @@
     world.run(Span::from_secs(4));
     let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(800), "{first}");
-    world.check();
+    world.check_invariants();
 }
 
 /// The holder's VM is gone without a word: its silence is noticed before its lease ends, and since engines check fencing
@@ -235,7 +235,7 @@
     world.run(Span::from_secs(8));
     let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(2_000), "{first}");
-    world.check();
+    world.check_invariants();
 }
 
 /// The others hear of a new holder before it does: its answers from the key-value service are late. What they ask it
@@ -258,7 +258,7 @@
         world.run(Span::from_secs(4));
         let first = world.time_to_first_chunk(cold).expect("served");
         assert!(first < Span::from_millis(900), "{first}");
-        world.check();
+        world.check_invariants();
     }
     assert!(late_held > 0);
 }
@@ -302,7 +302,7 @@
     }
     assert!(changes >= 3, "{changes} changes");
     assert!(last.is_some());
-    world.check();
+    world.check_invariants();
 }
 
 /// VMs of the larger deployments have from an eighth of a core and 10 Mbit/s up: a strong one schedules, at the start and
@@ -322,7 +322,7 @@
         let holder = world.holder().expect("a holder");
         assert!(expected.contains(&holder), "vm{holder}");
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// A VM is killed with requests at engines and starts again. It hears the scheduler before it knows where that one is, since its list
@@ -346,5 +346,5 @@
     let mut states = states.filter(|line| line.contains("SchedulerState"));
     let last = states.next().expect("a line each second");
     assert!(last.contains(" running=0 unread=0 "), "{last}");
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -26,7 +26,7 @@
         late.len()
     );
     assert!(world.told_leaving(server), "{server} told nobody");
-    world.check();
+    world.check_invariants();
 }
 
 /// Guards against VMs that hear of it from the key-value service alone, which is away for as long.
@@ -75,7 +75,7 @@
         let got = requests_since(&world, server, since);
         assert_eq!(got, 0, "{server} got {got} requests");
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// An entry that is written anew as it was, or lapses and is back, says nothing newer than the server itself.
@@ -102,7 +102,7 @@
         let got = requests_since(&world, server, since);
         assert_eq!(got, 0, "{server} got {got} requests");
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// A server that starts again under the id that it had is as good as any.
@@ -127,7 +127,7 @@
         let got = requests_since(&world, server, since);
         assert!(got >= 5, "{server} got {got} requests");
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// All servers of both services leave at once: until others come they are used for a while, and then callers are refused at once.
@@ -166,7 +166,7 @@
     let back = world.send_heavy_load(Span::from_secs(2));
     world.run(Span::from_secs(2));
     world.check_served(&back, 90);
-    world.check();
+    world.check_invariants();
 }
 
 /// The scheduler's VM is killed, stands still, is cut off from the others, and none schedules.
@@ -223,7 +223,7 @@
             assert!(late.is_empty(), "seed {seed} {server}: {late:?}");
         }
         assert!(!leaving.is_empty(), "seed {seed}: no server left");
-        series.world.check();
+        series.world.check_invariants();
     }
 }
 
@@ -253,7 +253,7 @@
     }
     let given = world.sent["place"] - before;
     assert!(given <= asked * 2, "{given} places for {asked} requests");
-    world.check();
+    world.check_invariants();
 }
 
 /// A VM that starts hears what servers said to others before it sends them anything.
@@ -270,5 +270,5 @@
     let since = world.now;
     world.send_heavy_load(Span::from_secs(4));
     assert_eq!(requests_since(&world, "p0", since), 0);
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -20,7 +20,7 @@
     world.name_limit("e1", Some(Rate(1_900)));
     world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
-    world.check();
+    world.check_invariants();
 }
 
 /// The same for a plain service, for which each VM chooses by itself.
@@ -31,7 +31,7 @@
     world.name_limit("p1", Some(Rate(200)));
     world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
-    world.check();
+    world.check_invariants();
 }
 
 /// Far fewer requests a second than there are VMs, of which each is told by itself.
@@ -45,7 +45,7 @@
         let since = world.now;
         world.send_heavy_load(Span::from_secs(8));
         world.check_limits();
-        world.check();
+        world.check_invariants();
         // What it would take is not left unused either.
         let got = world.arrivals_at("p0", since);
         assert!(got >= 5, "{vms} VMs: {got} arrivals in 8 s");
@@ -74,7 +74,7 @@
         world.arrivals_at("p3", since),
     );
     assert!(freed * 2 >= other, "{freed} arrivals of {other}");
-    world.check();
+    world.check_invariants();
 }
 
 /// A server that takes nothing at all is asked now and then whether that has ended.
@@ -94,7 +94,7 @@
         let got = world.arrivals_at(server, since);
         assert!(got >= 5, "{server}: {got} arrivals in 5 s");
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// All servers of a service name a limit below the load: what they take is used, and the rest refused at once, at times that differ.
@@ -112,7 +112,7 @@
     });
     world.run(Span::from_secs(3));
     world.check_limits();
-    world.check();
+    world.check_invariants();
     let served = world.total_served() - before;
     assert!(
         (24..=48).contains(&served),
@@ -150,7 +150,7 @@
     let asked = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(6));
     world.check_limits();
-    world.check();
+    world.check_invariants();
     let served = world.count_served(&asked);
     assert!(served >= 60, "{served} served in 8 s at 12 a second");
     let longest = world.longest_refusal_delay(&asked);
@@ -184,7 +184,7 @@
     world.store_up = true;
     world.send_heavy_load(Span::from_secs(3));
     world.check_limits();
-    world.check();
+    world.check_invariants();
 }
 
 /// Limits come, change and go in random series of faults; what VMs sent that were well and had been told counts.
@@ -230,6 +230,6 @@
             );
         }
         assert!(!limited.is_empty(), "seed {seed}: no limit was named");
-        series.world.check();
+        series.world.check_invariants();
     }
 }
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -44,7 +44,7 @@
     );
     assert!(loads(&world) >= 3, "{} loads", loads(&world));
     assert_eq!(world.count_served(&numbers), numbers.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// Rare adapters asked for at once, twice as many a second as can be loaded (32): who can't be served in time is refused
@@ -70,7 +70,7 @@
     );
     // 4.8 s of loads at 32 a second.
     assert!(good >= 120, "{good} served");
-    world.check();
+    world.check_invariants();
 }
 
 /// The same with one busy adapter at five engines' work on four engines: its queue is told apart from a short burst.
@@ -90,7 +90,7 @@
         refused.len()
     );
     assert!(good * 10 >= numbers.len() * 7, "{good} served");
-    world.check();
+    world.check_invariants();
 }
 
 /// Loads from the weight store and requests that came before their adapter was there, of 600 requests that go round 48
@@ -109,7 +109,7 @@
     let numbers = world.send_requests(600, Span::from_millis(40), rare);
     world.run(Span::from_secs(16));
     assert_eq!(world.count_served(&numbers), numbers.len());
-    world.check();
+    world.check_invariants();
     let fetches = world.servers.values().map(|(engine, _)| engine.fetches);
     let arrivals = numbers.iter().map(|number| world.requests[number].arrivals);
     let early = arrivals.filter(|arrivals| *arrivals > 1).count();
@@ -154,7 +154,7 @@
     assert_eq!(begun.len(), numbers.len());
     // Two loads of 250 ms in turn at most, as the weight store bears eight at once, then two prompts.
     assert!(latest < Some(Span::from_millis(850)), "{latest:?}");
-    world.check();
+    world.check_invariants();
 }
 
 /// Rare adapters with long prompts and answers of a second, at nearly all that four engines read and hold: an adapter that was loaded waits there for its turn to be
@@ -174,7 +174,7 @@
     let fetches: u32 = fetches.sum();
     assert!(fetches <= 126, "{fetches} fetches for 120 adapters");
     assert_eq!(world.count_served(&numbers), numbers.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// Prompts of 2,400 tokens (120 ms) at three quarters of what four engines read, in bursts of eight: an engine reads one, and takes the
@@ -195,5 +195,5 @@
     let longest = world.servers.values().map(|(engine, _)| engine.reading.1);
     let longest = longest.max().expect("engines");
     assert!(longest <= Span::from_millis(120), "{longest}");
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -36,7 +36,7 @@
     world.late_orders = 0.0;
     world.run(Span::from_secs(14));
     world.check_served(&numbers, 80);
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -48,7 +48,7 @@
     world.kill(old, false);
     churn(&mut world, Span::from_secs(5), "b");
     world.run(Span::from_secs(14));
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -72,7 +72,7 @@
         "{good} of {} after",
         after.len()
     );
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -88,7 +88,7 @@
         "{} loads",
         engine.loads
     );
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -108,7 +108,7 @@
         .filter(|(at, server)| *at > from && *server == id)
         .count();
     assert_eq!(late, 0);
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -124,5 +124,5 @@
     world.run(Span::from_millis(100));
     let number = warm(&mut world, "new");
     assert_eq!(world.requests[&number].versions, vec![(3, 3)]);
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -62,7 +62,7 @@
     assert_eq!(world.holder(), Some(old));
     world.run(Span::from_secs(2));
     assert_ne!(world.holder(), Some(old), "since {from}");
-    world.check();
+    world.check_invariants();
 }
 
 /// Engines that don't check fencing numbers: a holder that reaches neither the key-value service nor the other VMs, but all
@@ -99,7 +99,7 @@
         .filter(|(at, fence)| *fence == first && *at >= gone)
         .count();
     assert_eq!(late, 0);
-    world.check();
+    world.check_invariants();
 }
 
 /// Engines that don't check fencing numbers, and the key-value service is away for five seconds: the holder stops in time, its
@@ -124,7 +124,7 @@
         world.run(Span::from_secs(4));
         let first = world.time_to_first_chunk(cold).expect("served");
         assert!(first < Span::from_millis(1_500), "{first}, lapse {lapse}");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -159,7 +159,7 @@
             .iter()
             .filter(|line| line.contains("PlatformLost"));
         assert!(lost.count() >= 3);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -178,7 +178,7 @@
     assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(world.holder(), old);
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
 
 /// The same while VMs stand still, are cut off, killed and started anew, stopped, or reach the service though the holder does
@@ -206,7 +206,7 @@
             world.send_requests(2, Span::from_millis(100), cold);
         }
         one_at_a_time(&world);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -224,7 +224,7 @@
         cold_everywhere(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
         one_at_a_time(&world);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -246,7 +246,7 @@
         cold_everywhere(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
         one_at_a_time(&world);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -267,7 +267,7 @@
     world.send_light_load(Span::from_secs(6));
     assert!([Some(2), Some(6)].contains(&world.holder()));
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
 
 /// The same where the strong VMs are 0.2 s behind the others with their leases, and the first configuration comes a moment later: weak
@@ -289,7 +289,7 @@
         world.run(Span::from_secs(3));
         let holder = world.holder().expect("a scheduler");
         assert!(strengths[holder] >= 25, "VM {holder} after {late} ms");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -321,7 +321,7 @@
         .filter(|line| line.contains("LeaseTaken"));
     assert_eq!(taken.count(), 3);
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
 
 /// All processes are killed and start again where engines don't check fencing numbers: the old holder finds its own key, which nobody
@@ -343,5 +343,5 @@
     let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(450), "{first}");
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -48,7 +48,7 @@
     let after = (lines(&world, "LeaseTaken"), lines(&world, "HolderSilent"));
     assert_eq!(after, before);
     world.check_served(&numbers, 90);
-    world.check();
+    world.check_invariants();
 }
 
 /// More than its VM can bear comes for five seconds: a second after the end of it the service is what it was before.
@@ -60,7 +60,7 @@
     let numbers = load(&mut world, 80, Span::from_millis(50));
     world.run(Span::from_secs(5));
     world.check_served(&numbers, 95);
-    world.check();
+    world.check_invariants();
 }
 
 /// A run takes longer than the longest time between two of them, as with 3,000 engines: it still leaves half of the time to what the
@@ -73,5 +73,5 @@
     world.run(Span::from_secs(6));
     assert_eq!(lines(&world, "LeaseTaken"), before);
     world.check_served(&numbers, 90);
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -126,7 +126,7 @@
             let allowed = allowed(callers.rate);
             assert!(worst <= allowed, "{}: {worst} of {allowed}", callers.name);
         }
-        self.world.check();
+        self.world.check_invariants();
     }
 
     /// The part in a hundred that was refused, of the requests that accounts sent in a time: those that flood or the others.
@@ -383,7 +383,7 @@
                 callers.name
             );
         }
-        load.world.check();
+        load.world.check_invariants();
     }
 }
 
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -24,7 +24,7 @@
         most <= ALLOWED,
         "{server}: {most} requests in one of {asked} rests"
     );
-    world.check();
+    world.check_invariants();
 }
 
 /// Guards against VMs that don't read for how long an engine wants nothing of them.
@@ -100,7 +100,7 @@
     );
     let anew = world.servers["e0"].0.loads - loads;
     assert!(anew <= 5, "{anew} loads after a rest");
-    world.check();
+    world.check_invariants();
 }
 
 /// All servers of both services rest: callers are refused at once, and told times at which they don't come back together.
@@ -209,6 +209,6 @@
             );
         }
         assert!(!series.world.notices.rests.is_empty(), "seed {seed}");
-        series.world.check();
+        series.world.check_invariants();
     }
 }
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -50,7 +50,7 @@
         assert_eq!(world.count_served(&numbers), numbers.len());
         assert_eq!(again(&world, &numbers), 0, "start {start}");
         assert_eq!(lines(&world, "ServerRestarted"), 3);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -71,7 +71,7 @@
     world.run(Span::from_secs(5));
     let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 10 >= all * 9, "{good} of {all}");
-    world.check();
+    world.check_invariants();
 }
 
 /// The last write of the earlier start is carried out after the first one of the later: the engine's report tells which of
@@ -87,7 +87,7 @@
     world.run(Span::from_secs(5));
     assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(again(&world, &numbers), 0);
-    world.check();
+    world.check_invariants();
 }
 
 /// What runs at an engine when it starts again is not counted there any more, though nobody hears of its end.
@@ -110,7 +110,7 @@
     let number = world.send_request(0, draft("r", "a9"));
     world.run(Span::from_secs(2));
     assert!(world.time_to_first_chunk(number).is_some());
-    world.check();
+    world.check_invariants();
 }
 
 /// An entry that can't be read names no server, and the other entries hold; one line a second tells of them, however many
@@ -146,7 +146,7 @@
     let back = world.send_light_load(Span::from_secs(1));
     world.run(Span::from_secs(5));
     assert_eq!(world.count_served(&back), back.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// Where servers tell their starts, an entry without one is another program's.
@@ -169,7 +169,7 @@
     world.run(Span::from_secs(3));
     assert_eq!(world.count_served(&numbers), 40);
     assert_eq!(again(&world, &numbers), 0);
-    world.check();
+    world.check_invariants();
 }
 
 /// A leadership's entry that can't be read is taken like a free one, and the operator's words stay in force.
@@ -188,7 +188,7 @@
     let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
     assert_eq!(world.count_served(&numbers), numbers.len());
-    world.check();
+    world.check_invariants();
 }
 
 /// A version of one adapter every 300 ms, while it is asked for every 40 ms and by long answers too, as when an adapter is
@@ -221,5 +221,5 @@
         .iter()
         .flat_map(|number| &world.requests[number].versions);
     assert!(ran.clone().count() > 0 && ran.clone().all(|(_, ran)| *ran == 21));
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -37,7 +37,7 @@
         }
         let holder = world.holder().expect("a holder");
         assert!(holder < STRONG, "after {tenths}00 ms vm{holder} holds");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -58,7 +58,7 @@
     world.run(Span::from_millis(1_800));
     let holder = world.holder().expect("a holder");
     assert!(holder < STRONG, "vm{holder} holds");
-    world.check();
+    world.check_invariants();
 }
 
 /// The strongest VMs see by their links that the holder is gone, before its silence is long enough for all: the first of them does not
@@ -80,7 +80,7 @@
     (50..70).for_each(|at| ask(&mut world, at));
     let new = world.holder().expect("a holder");
     assert!(strong.contains(&new), "vm{new} holds");
-    world.check();
+    world.check_invariants();
 }
 
 /// All strong VMs are away when the leadership becomes free, and come back. The weak VM that has it falls behind, as each run takes it a
@@ -103,5 +103,5 @@
     world.send_light_load(Span::from_secs(10));
     let holder = world.holder().expect("a holder");
     assert!(holder < STRONG, "vm{holder} holds");
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -603,7 +603,7 @@
     }
 
     /// All that must always hold, over what the fakes recorded.
-    pub fn check(&self) {
+    pub fn check_invariants(&self) {
         for (number, asked) in &self.requests {
             let idempotent =
                 asked.call.path.starts_with("/query/") || asked.call.path.starts_with("/berth/");
