--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -289,7 +289,7 @@
     for _ in 0..5 {
         world.send_requests(60, Span::from_millis(40), long);
         for server in world.busiest().into_iter().take(3) {
-            world.fall(&server);
+            world.crash_and_replace(&server);
         }
         world.send_requests(60, Span::from_millis(40), long);
     }
@@ -309,7 +309,7 @@
             numbers.extend(world.send_requests(4, Span::from_millis(25), lookup));
         }
         if let Some(server) = world.up(false).get(at % 2) {
-            world.fall(&server.clone());
+            world.crash_and_replace(&server.clone());
         }
     }
     world.run(Span::from_secs(3));
@@ -347,7 +347,7 @@
         let id = format!("e{engine}");
         world.drain(&id);
         world.run(Span::from_millis(500));
-        world.fall(&support::setup::name(&id));
+        world.crash_and_replace(&support::setup::name(&id));
     }
     assert_eq!(lines(&world, "ServerEnded"), 0);
     check_others(&world);
@@ -493,7 +493,7 @@
     let ends = series.rng.random_bool(0.01);
     let busiest = series.world.busiest().first().cloned();
     if let Some(server) = busiest.filter(|_| ends) {
-        series.world.fall(&server);
+        series.world.crash_and_replace(&server);
     }
 }
 
@@ -508,7 +508,7 @@
     for _ in 0..2 {
         world.send_requests(1, Span::from_millis(600), long);
         for server in world.busiest() {
-            world.fall(&server);
+            world.crash_and_replace(&server);
         }
         world.run(Span::from_millis(100));
     }
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -76,7 +76,7 @@
 
 impl World {
     /// A server's process ends, and another one comes in its place.
-    pub fn fall(&mut self, server: &Server) {
+    pub fn crash_and_replace(&mut self, server: &Server) {
         let now = self.now;
         let Some((engine, backend)) = self.servers.get_mut(server).filter(|(e, _)| e.up) else {
             return;
@@ -94,7 +94,7 @@
     pub(super) fn fall_under(&mut self, server: &Server, fingerprint: Fingerprint) {
         if self.servers[server].0.up {
             self.crashing.ends.push((self.now, fingerprint));
-            self.fall(server);
+            self.crash_and_replace(server);
         }
     }
 
