--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -55,7 +55,7 @@
 fn engine_crashedisleftout() {
     let mut world = ready();
     churn(&mut world, Span::from_secs(3), "a");
-    world.crash("e1");
+    world.crash_server("e1");
     let during = churn(&mut world, Span::from_secs(2), "b");
     world.unlist("e1");
     let after = churn(&mut world, Span::from_secs(3), "c");
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -374,7 +374,7 @@
     }
 
     /// A server ends without a word; its entry goes after a while.
-    pub fn crash(&mut self, id: &str) {
+    pub fn crash_server(&mut self, id: &str) {
         let id: Server = name(id);
         self.servers.get_mut(&id).expect("a server").0.up = false;
     }
