--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -326,7 +326,7 @@
     for _ in 0..8 {
         world.send_requests(12, Span::from_millis(40), long);
         for server in world.up(true) {
-            world.reset(&server);
+            world.reset_connections(&server);
         }
     }
     assert!(world.probes > 0);
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -83,7 +83,7 @@
         };
         engine.up = false;
         let successor = (engine.adapters, backend.clone());
-        self.reset(server);
+        self.reset_connections(server);
         self.at(now + ENTRY_GOES, Act::Unlist(server.clone()));
         self.fallen += 1;
         let id = format!("{server}.{}", self.fallen);
@@ -99,7 +99,7 @@
     }
 
     /// All connections to a server break, and it lives.
-    pub fn reset(&mut self, server: &Server) {
+    pub fn reset_connections(&mut self, server: &Server) {
         let there = self.running.iter().filter(|(_, run)| run.server == *server);
         let broken: Vec<u64> = there.map(|(number, _)| *number).collect();
         for number in broken {
