--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -34,7 +34,7 @@
     match series.rng.random_range(0..40) {
         0 => world.store.compacted = world.store.revision,
         1 => {
-            world.unlist(&server);
+            world.remove_server_entry(&server);
             world.rewrite(&server);
         }
         2..10 => world.rewrite(&server),
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -91,7 +91,7 @@
     }
     world.send_heavy_load(Span::from_secs(2));
     for server in ["e3", "p0"] {
-        world.unlist(server);
+        world.remove_server_entry(server);
     }
     world.send_heavy_load(Span::from_secs(1));
     for server in ["e3", "p0"] {
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -57,7 +57,7 @@
     churn(&mut world, Span::from_secs(3), "a");
     world.crash_server("e1");
     let during = churn(&mut world, Span::from_secs(2), "b");
-    world.unlist("e1");
+    world.remove_server_entry("e1");
     let after = churn(&mut world, Span::from_secs(3), "c");
     world.run(Span::from_secs(5));
     let good = world.count_served(&during);
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -406,7 +406,7 @@
     }
 
     /// A server's entry goes.
-    pub fn unlist(&mut self, id: &str) {
+    pub fn remove_server_entry(&mut self, id: &str) {
         self.store.remove(&EntryKey::Server(name(id)));
         self.wake_watchers();
     }
