--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -33,7 +33,7 @@
     let before = world.tried;
     let end = world.now + span;
     while world.now < end {
-        world.rewrite("e0");
+        world.rewrite_server_entry("e0");
         world.run(Span::from_millis(50));
     }
     world.tried - before
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -35,9 +35,9 @@
         0 => world.store.compacted = world.store.revision,
         1 => {
             world.remove_server_entry(&server);
-            world.rewrite(&server);
+            world.rewrite_server_entry(&server);
         }
-        2..10 => world.rewrite(&server),
+        2..10 => world.rewrite_server_entry(&server),
         _ => {}
     }
 }
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -335,7 +335,7 @@
         world.store_up = true;
         world.run(Span::from_millis(back));
         for server in ids {
-            world.rewrite(server);
+            world.rewrite_server_entry(server);
         }
         world.run(Span::from_secs(4));
         assert!(all_serve(&mut world), "back after {back} ms");
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -87,7 +87,7 @@
     world.send_heavy_load(Span::from_secs(3));
     let since = world.now;
     for server in ["e3", "p0"] {
-        world.rewrite(server);
+        world.rewrite_server_entry(server);
     }
     world.send_heavy_load(Span::from_secs(2));
     for server in ["e3", "p0"] {
@@ -95,7 +95,7 @@
     }
     world.send_heavy_load(Span::from_secs(1));
     for server in ["e3", "p0"] {
-        world.rewrite(server);
+        world.rewrite_server_entry(server);
     }
     world.send_heavy_load(Span::from_secs(4));
     for server in ["e3", "p0"] {
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -399,7 +399,7 @@
     }
 
     /// A server rewrites its entry as it is.
-    pub fn rewrite(&mut self, id: &str) {
+    pub fn rewrite_server_entry(&mut self, id: &str) {
         let id: Server = name(id);
         let fact = EntryValue::Server(self.servers[&id].1.clone());
         self.write(EntryKey::Server(id), fact);
