--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -514,7 +514,7 @@
     }
     world.run(Span::from_secs(6));
     let fingerprint = Fingerprint::of([path.as_bytes(), id.as_bytes()]);
-    world.write(EntryKey::Quarantine(fingerprint), EntryValue::Quarantine);
+    world.write_entry(EntryKey::Quarantine(fingerprint), EntryValue::Quarantine);
     world.run(Span::from_secs(2));
     assert!(
         world
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -82,7 +82,7 @@
     let (_, earlier) = world.servers[&name::<Server>("e1")].clone();
     world.restart_server("e1", 2);
     world.send_light_load(Span::from_secs(2));
-    world.write(EntryKey::Server(name("e1")), EntryValue::Server(earlier));
+    world.write_entry(EntryKey::Server(name("e1")), EntryValue::Server(earlier));
     let numbers = world.send_light_load(Span::from_secs(3));
     world.run(Span::from_secs(5));
     assert_eq!(world.count_served(&numbers), numbers.len());
@@ -130,7 +130,7 @@
         } else {
             format!("x{at}")
         };
-        world.write(EntryKey::Server(name(&spoilt)), EntryValue::Unreadable);
+        world.write_entry(EntryKey::Server(name(&spoilt)), EntryValue::Unreadable);
     }
     world.run(Span::from_millis(200));
     let numbers = world.send_light_load(Span::from_secs(2));
@@ -159,7 +159,7 @@
         start: None,
         ..(*good).clone()
     };
-    world.write(
+    world.write_entry(
         EntryKey::Server(name("p9")),
         EntryValue::Server(Arc::new(nowhere)),
     );
@@ -177,12 +177,12 @@
 fn entry_unreadablefreestheseat() {
     let mut world = warm();
     world.name_version("a1", 3);
-    world.write(EntryKey::Config, EntryValue::Unreadable);
-    world.write(
+    world.write_entry(EntryKey::Config, EntryValue::Unreadable);
+    world.write_entry(
         EntryKey::Version("base".into(), "a1".into()),
         EntryValue::Unreadable,
     );
-    world.write(EntryKey::Holder(name(ENGINES)), EntryValue::Unreadable);
+    world.write_entry(EntryKey::Holder(name(ENGINES)), EntryValue::Unreadable);
     world.run(Span::from_secs(3));
     assert!(world.holder().is_some());
     let numbers = world.send_light_load(Span::from_secs(2));
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -358,7 +358,7 @@
     fn register(&mut self, made: Engine, backend: Backend) {
         let (id, backend) = (made.id.clone(), Arc::new(backend));
         self.servers.insert(id.clone(), (made, backend.clone()));
-        self.write(EntryKey::Server(id), EntryValue::Server(backend));
+        self.write_entry(EntryKey::Server(id), EntryValue::Server(backend));
     }
 
     /// A server says that it is leaving.
@@ -393,7 +393,7 @@
     }
 
     /// Another program writes an entry, or a late write is carried out.
-    pub fn write(&mut self, subject: EntryKey, fact: EntryValue) {
+    pub fn write_entry(&mut self, subject: EntryKey, fact: EntryValue) {
         self.store.put(subject, fact, 0);
         self.wake_watchers();
     }
@@ -402,7 +402,7 @@
     pub fn rewrite_server_entry(&mut self, id: &str) {
         let id: Server = name(id);
         let fact = EntryValue::Server(self.servers[&id].1.clone());
-        self.write(EntryKey::Server(id), fact);
+        self.write_entry(EntryKey::Server(id), fact);
     }
 
     /// A server's entry goes.
