--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -46,7 +46,7 @@
         let mut numbers = Vec::new();
         for round in 0..6_u64 {
             match round {
-                1 => world.name_version("a5", 2),
+                1 => world.publish_version("a5", 2),
                 2 => world.crash_server("e1"),
                 3 => world.kill(world.holder().expect("a holder"), false),
                 4 => world.store_up = false,
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -120,7 +120,7 @@
         number
     };
     warm(&mut world, "old");
-    world.name_version("a1", 3);
+    world.publish_version("a1", 3);
     world.run(Span::from_millis(100));
     let number = warm(&mut world, "new");
     assert_eq!(world.requests[&number].versions, vec![(3, 3)]);
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -176,7 +176,7 @@
 #[test]
 fn entry_unreadablefreestheseat() {
     let mut world = warm();
-    world.name_version("a1", 3);
+    world.publish_version("a1", 3);
     world.write_entry(EntryKey::Config, EntryValue::Unreadable);
     world.write_entry(
         EntryKey::Version("base".into(), "a1".into()),
@@ -199,7 +199,7 @@
     let mut world = warm();
     let mut numbers = Vec::new();
     for version in 2..22 {
-        world.name_version("a5", version);
+        world.publish_version("a5", version);
         let call = |at: usize| match at {
             0 => support::setup::call(
                 &format!("l{version}"),
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -319,7 +319,7 @@
     }
 
     /// The operator names a version of an adapter.
-    pub fn name_version(&mut self, adapter: &str, version: u64) {
+    pub fn publish_version(&mut self, adapter: &str, version: u64) {
         let adapter: Arc<str> = adapter.into();
         self.versions.insert(adapter.clone(), version);
         self.names.push((self.now, adapter.clone(), version));
