--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -16,8 +16,8 @@
 #[test]
 fn limit_namedbyengines() {
     let mut world = World::under_load(6);
-    world.name_limit("e0", Some(Rate(1_000)));
-    world.name_limit("e1", Some(Rate(1_900)));
+    world.announce_limit("e0", Some(Rate(1_000)));
+    world.announce_limit("e1", Some(Rate(1_900)));
     world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
     world.check_invariants();
@@ -27,8 +27,8 @@
 #[test]
 fn limit_namedbyplainservers() {
     let mut world = World::under_load(6);
-    world.name_limit("p0", Some(Rate(1_000)));
-    world.name_limit("p1", Some(Rate(200)));
+    world.announce_limit("p0", Some(Rate(1_000)));
+    world.announce_limit("p1", Some(Rate(200)));
     world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
     world.check_invariants();
@@ -39,8 +39,8 @@
 fn limit_belowoneforeachvm() {
     for vms in [70, 300] {
         let mut world = World::under_load(vms);
-        world.name_limit("e0", Some(Rate(1_000)));
-        world.name_limit("p0", Some(Rate(1_000)));
+        world.announce_limit("e0", Some(Rate(1_000)));
+        world.announce_limit("p0", Some(Rate(1_000)));
         world.send_heavy_load(Span::from_secs(4));
         let since = world.now;
         world.send_heavy_load(Span::from_secs(8));
@@ -57,15 +57,15 @@
 fn limit_changesandends() {
     let mut world = World::under_load(6);
     for limit in [2_000, 200, 5_000, 500] {
-        world.name_limit("e0", Some(Rate(limit)));
-        world.name_limit("p0", Some(Rate(limit)));
+        world.announce_limit("e0", Some(Rate(limit)));
+        world.announce_limit("p0", Some(Rate(limit)));
         world.send_heavy_load(Span::from_secs(6));
     }
     world.check_limits();
-    world.name_limit("e0", None);
-    world.name_limit("p0", None);
+    world.announce_limit("e0", None);
+    world.announce_limit("p0", None);
     // It is in the same availability zone.
-    world.name_limit("p3", None);
+    world.announce_limit("p3", None);
     world.send_heavy_load(Span::from_secs(5));
     let since = world.now;
     world.send_heavy_load(Span::from_secs(5));
@@ -81,12 +81,12 @@
 #[test]
 fn limit_nothingatall() {
     let mut world = World::under_load(6);
-    world.name_limit("e0", Some(Rate(0)));
-    world.name_limit("p0", Some(Rate(0)));
+    world.announce_limit("e0", Some(Rate(0)));
+    world.announce_limit("p0", Some(Rate(0)));
     world.send_heavy_load(Span::from_secs(10));
     world.check_limits();
-    world.name_limit("e0", None);
-    world.name_limit("p0", None);
+    world.announce_limit("e0", None);
+    world.announce_limit("p0", None);
     world.send_heavy_load(Span::from_secs(15));
     let since = world.now;
     world.send_heavy_load(Span::from_secs(5));
@@ -102,7 +102,7 @@
 fn limit_allplainservers() {
     let mut world = World::under_load(6);
     for server in ["p0", "p1", "p2", "p3"] {
-        world.name_limit(server, Some(Rate(1_000)));
+        world.announce_limit(server, Some(Rate(1_000)));
     }
     world.send_heavy_load(Span::from_secs(2));
     let before = world.total_served();
@@ -144,7 +144,7 @@
 fn limit_allengines() {
     let mut world = World::under_load(6);
     for server in 0..12 {
-        world.name_limit(&format!("e{server}"), Some(Rate(1_000)));
+        world.announce_limit(&format!("e{server}"), Some(Rate(1_000)));
     }
     world.send_heavy_load(Span::from_secs(3));
     let asked = world.send_heavy_load(Span::from_secs(8));
@@ -164,8 +164,8 @@
 #[test]
 fn limit_schedulerchanges() {
     let mut world = World::under_load(6);
-    world.name_limit("e0", Some(Rate(1_000)));
-    world.name_limit("e5", Some(Rate(500)));
+    world.announce_limit("e0", Some(Rate(1_000)));
+    world.announce_limit("e5", Some(Rate(500)));
     world.send_heavy_load(Span::from_secs(3));
     for round in 0..4 {
         if let Some(holder) = world.holder() {
@@ -206,7 +206,7 @@
                 let server = servers[series.rng.random_range(0..servers.len())].clone();
                 if limited.iter().all(|(_, known)| *known != server) {
                     let rate = [0, 200, 1_000, 1_600, 3_000][series.rng.random_range(0..5)];
-                    series.world.name_limit(&server, Some(Rate(rate)));
+                    series.world.announce_limit(&server, Some(Rate(rate)));
                     limited.push((now, server));
                 }
             }
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -95,7 +95,7 @@
 
 impl World {
     /// A server names a limit in its answers from now on, or none any more.
-    pub fn name_limit(&mut self, id: &str, limit: Option<Rate>) {
+    pub fn announce_limit(&mut self, id: &str, limit: Option<Rate>) {
         let server: Server = name(id);
         let limits = self.notices.limits.entry(server.clone()).or_default();
         limits.push((self.now, limit));
