--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -206,7 +206,7 @@
 
     /// What a server got in each of the windows that saw more of it than the limit allows that it named, with what was allowed.
     /// Whichever VM was told, what any sends counts from half a second after the server first named it.
-    pub fn over_limit(&self, id: &str) -> Vec<(Instant, u32, f64)> {
+    pub fn windows_over_limit(&self, id: &str) -> Vec<(Instant, u32, f64)> {
         self.over_limit_of(id, |_| true)
     }
 
@@ -242,7 +242,7 @@
     /// That no server got more than it named a limit for.
     pub fn check_limits(&self) {
         for server in self.notices.limits.keys() {
-            let over = self.over_limit(server.as_str());
+            let over = self.windows_over_limit(server.as_str());
             assert!(
                 over.is_empty(),
                 "{server}: {} windows, {:?}",
