--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -219,7 +219,7 @@
             }
         }
         for (_, server) in &limited {
-            let over = series.world.over_limit_of(server, |arrival| {
+            let over = series.world.windows_over_limit_where(server, |arrival| {
                 arrival.told && series.had_been_well(arrival.vm, arrival.at)
             });
             assert!(
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -207,11 +207,11 @@
     /// What a server got in each of the windows that saw more of it than the limit allows that it named, with what was allowed.
     /// Whichever VM was told, what any sends counts from half a second after the server first named it.
     pub fn windows_over_limit(&self, id: &str) -> Vec<(Instant, u32, f64)> {
-        self.over_limit_of(id, |_| true)
+        self.windows_over_limit_where(id, |_| true)
     }
 
     /// The same of some of what the server got.
-    pub fn over_limit_of(
+    pub fn windows_over_limit_where(
         &self,
         id: &str,
         counts: impl Fn(&Arrival) -> bool,
