--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -36,7 +36,7 @@
     world.store_up = false;
     world.wake_watchers();
     world.run(Span::from_millis(900));
-    world.say_leaving("e3");
+    world.announce_leaving("e3");
     world.send_heavy_load(Span::from_secs(12));
     check(&world, "e3", BOUND);
 }
@@ -48,7 +48,7 @@
     world.store_up = false;
     world.wake_watchers();
     world.run(Span::from_millis(900));
-    world.say_leaving("p0");
+    world.announce_leaving("p0");
     world.send_heavy_load(Span::from_secs(12));
     check(&world, "p0", BOUND);
 }
@@ -65,7 +65,7 @@
 fn leaving_onevmtellsall() {
     let mut world = World::under_load(24);
     for server in ["e3", "p0"] {
-        world.say_leaving(server);
+        world.announce_leaving(server);
     }
     world.send_heavy_load(Span::from_secs(2));
     assert!(world.told_leaving("e3") && world.told_leaving("p0"));
@@ -82,8 +82,8 @@
 #[test]
 fn leaving_olderwordundoesnothing() {
     let mut world = World::under_load(6);
-    world.say_leaving("e3");
-    world.say_leaving("p0");
+    world.announce_leaving("e3");
+    world.announce_leaving("p0");
     world.send_heavy_load(Span::from_secs(3));
     let since = world.now;
     for server in ["e3", "p0"] {
@@ -109,8 +109,8 @@
 #[test]
 fn leaving_startsagain() {
     let mut world = World::under_load(6);
-    world.say_leaving("e3");
-    world.say_leaving("p0");
+    world.announce_leaving("e3");
+    world.announce_leaving("p0");
     world.send_heavy_load(Span::from_secs(3));
     world.stay("e3");
     world.stay("p0");
@@ -135,10 +135,10 @@
 fn leaving_allatonce() {
     let mut world = World::under_load(6);
     for server in 0..12 {
-        world.say_leaving(&format!("e{server}"));
+        world.announce_leaving(&format!("e{server}"));
     }
     for server in 0..4 {
-        world.say_leaving(&format!("p{server}"));
+        world.announce_leaving(&format!("p{server}"));
     }
     let first = world.send_heavy_load(Span::from_millis(900));
     world.run(Span::from_secs(1));
@@ -176,7 +176,7 @@
     world.store_up = false;
     world.wake_watchers();
     world.send_heavy_load(Span::from_secs(1));
-    world.say_leaving("e3");
+    world.announce_leaving("e3");
     world.send_heavy_load(Span::from_secs(2));
     for round in 0..3 {
         let holder = world.holder().unwrap_or(round);
@@ -205,7 +205,7 @@
                     at @ (1 | 5) => format!("p{}", at / 4),
                     at => format!("e{at}"),
                 };
-                series.world.say_leaving(&server);
+                series.world.announce_leaving(&server);
                 leaving.push(server);
             }
             for _ in 0..3 {
@@ -236,7 +236,7 @@
     world.run(Span::from_secs(2));
     world.send_heavy_load(Span::from_secs(2));
     for server in 0..12 {
-        world.say_leaving(&format!("e{server}"));
+        world.announce_leaving(&format!("e{server}"));
     }
     world.send_heavy_load(Span::from_millis(1_500));
     // The weak VM knows of it, and tells the scheduler that comes after all others were killed.
@@ -262,7 +262,7 @@
     let mut world = World::under_load(6);
     world.store_up = false;
     world.wake_watchers();
-    world.say_leaving("p0");
+    world.announce_leaving("p0");
     world.send_heavy_load(Span::from_secs(2));
     // The only one in the availability zone of that server that is asked for plain services.
     world.kill(0, false);
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -277,7 +277,7 @@
 
 impl World {
     /// A server says that it is leaving in its answers from now on, and nowhere else.
-    pub fn say_leaving(&mut self, id: &str) {
+    pub fn announce_leaving(&mut self, id: &str) {
         let server: Server = name(id);
         self.notices.says.entry(server).or_default().leaving = true;
     }
