--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -112,8 +112,8 @@
     world.announce_leaving("e3");
     world.announce_leaving("p0");
     world.send_heavy_load(Span::from_secs(3));
-    world.stay("e3");
-    world.stay("p0");
+    world.withdraw_leaving("e3");
+    world.withdraw_leaving("p0");
     world.restart_server("e3", 2);
     world.restart_server("p0", 2);
     world.send_heavy_load(Span::from_secs(3));
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -283,7 +283,7 @@
     }
 
     /// A server no longer says so.
-    pub fn stay(&mut self, id: &str) {
+    pub fn withdraw_leaving(&mut self, id: &str) {
         let server: Server = name(id);
         self.notices.says.entry(server).or_default().leaving = false;
     }
