--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -25,7 +25,7 @@
         "{server}: {} requests, {last:?}",
         late.len()
     );
-    assert!(world.told_leaving(server), "{server} told nobody");
+    assert!(world.has_told_leaving(server), "{server} told nobody");
     world.check_invariants();
 }
 
@@ -68,7 +68,7 @@
         world.announce_leaving(server);
     }
     world.send_heavy_load(Span::from_secs(2));
-    assert!(world.told_leaving("e3") && world.told_leaving("p0"));
+    assert!(world.has_told_leaving("e3") && world.has_told_leaving("p0"));
     let since = world.now;
     world.send_heavy_load(Span::from_secs(6));
     for server in ["e3", "p0"] {
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -289,7 +289,7 @@
     }
 
     /// Whether a VM was told that a server leaves.
-    pub fn told_leaving(&self, id: &str) -> bool {
+    pub fn has_told_leaving(&self, id: &str) -> bool {
         let mut told = self.notices.left.keys();
         told.any(|(_, _, server)| server.as_str() == id)
     }
