--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -31,8 +31,8 @@
 #[test]
 fn rest_askedbyengines() {
     let mut world = World::under_load(6);
-    world.ask_rest("e0", Some(REST));
-    world.ask_rest("e1", Some(REST));
+    world.announce_cooldown("e0", Some(REST));
+    world.announce_cooldown("e1", Some(REST));
     world.send_heavy_load(Span::from_secs(8));
     check(&world, "e0");
     check(&world, "e1");
@@ -42,7 +42,7 @@
 #[test]
 fn rest_askedbyplainservers() {
     let mut world = World::under_load(6);
-    world.ask_rest("p0", Some(REST));
+    world.announce_cooldown("p0", Some(REST));
     world.send_heavy_load(Span::from_secs(8));
     check(&world, "p0");
 }
@@ -60,7 +60,7 @@
     let mut world = World::under_load(6);
     let since = world.now;
     for server in 0..4 {
-        world.ask_rest(&format!("e{server}"), Some(REST));
+        world.announce_cooldown(&format!("e{server}"), Some(REST));
     }
     let asked = world.send_heavy_load(Span::from_secs(9));
     world.run(Span::from_secs(2));
@@ -82,12 +82,12 @@
 #[test]
 fn rest_ends() {
     let mut world = World::under_load(6);
-    world.ask_rest("e0", Some(REST));
-    world.ask_rest("p0", Some(REST));
+    world.announce_cooldown("e0", Some(REST));
+    world.announce_cooldown("p0", Some(REST));
     world.send_heavy_load(Span::from_secs(4));
     let loads = world.servers["e0"].0.loads;
-    world.ask_rest("e0", None);
-    world.ask_rest("p0", None);
+    world.announce_cooldown("e0", None);
+    world.announce_cooldown("p0", None);
     world.send_heavy_load(REST);
     let since = world.now;
     world.send_heavy_load(Span::from_secs(4));
@@ -108,10 +108,10 @@
 fn rest_allatonce() {
     let mut world = World::under_load(6);
     for server in 0..12 {
-        world.ask_rest(&format!("e{server}"), Some(REST));
+        world.announce_cooldown(&format!("e{server}"), Some(REST));
     }
     for server in 0..4 {
-        world.ask_rest(&format!("p{server}"), Some(REST));
+        world.announce_cooldown(&format!("p{server}"), Some(REST));
     }
     world.send_heavy_load(Span::from_secs(1));
     let asked = world.send_heavy_load(Span::from_secs(8));
@@ -134,10 +134,10 @@
 #[test]
 fn rest_noneandlong() {
     let mut world = World::under_load(6);
-    world.ask_rest("e0", Some(Span::ZERO));
-    world.ask_rest("e1", Some(Span::from_secs(600)));
-    world.ask_rest("p0", Some(Span::ZERO));
-    world.ask_rest("p1", Some(Span::from_secs(600)));
+    world.announce_cooldown("e0", Some(Span::ZERO));
+    world.announce_cooldown("e1", Some(Span::from_secs(600)));
+    world.announce_cooldown("p0", Some(Span::ZERO));
+    world.announce_cooldown("p1", Some(Span::from_secs(600)));
     let asked = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(2));
     check(&world, "e1");
@@ -149,8 +149,8 @@
 #[test]
 fn rest_schedulerchanges() {
     let mut world = World::under_load(6);
-    world.ask_rest("e0", Some(REST));
-    world.ask_rest("e5", Some(REST));
+    world.announce_cooldown("e0", Some(REST));
+    world.announce_cooldown("e5", Some(REST));
     for round in 0..4 {
         world.send_heavy_load(Span::from_secs(1));
         let holder = world.holder().unwrap_or(round);
@@ -186,7 +186,7 @@
                     .rng
                     .random_bool(0.6)
                     .then_some(Span::from_millis(rest));
-                series.world.ask_rest(&server, rest);
+                series.world.announce_cooldown(&server, rest);
                 resting.push(server);
             }
             for _ in 0..3 {
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -295,7 +295,7 @@
     }
 
     /// A server turns all requests away from now on and asks each VM for so much rest; or takes them again.
-    pub fn ask_rest(&mut self, id: &str, rest: Option<Span>) {
+    pub fn announce_cooldown(&mut self, id: &str, rest: Option<Span>) {
         let server: Server = name(id);
         let (engine, _) = self.servers.get_mut(&server).expect("a server");
         engine.resting = rest.is_some();
