--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -18,7 +18,7 @@
 
 /// That no request came later than a span after its VM was told.
 fn check(world: &World, server: &str, bound: Span) {
-    let late = world.after_leaving(server, bound);
+    let late = world.requests_after_leaving(server, bound);
     let last = late.last();
     assert!(
         late.is_empty(),
@@ -217,7 +217,9 @@
             }
         }
         for server in &leaving {
-            let late = series.world.after_leaving(server, Span::from_secs(2));
+            let late = series
+                .world
+                .requests_after_leaving(server, Span::from_secs(2));
             let counts = |arrival: &&&Arrival| series.had_been_well(arrival.vm, arrival.at);
             let late: Vec<_> = late.iter().filter(counts).collect();
             assert!(late.is_empty(), "seed {seed} {server}: {late:?}");
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -304,7 +304,7 @@
     }
 
     /// The requests that reached a server from a VM later than a span after that VM was told that it leaves.
-    pub fn after_leaving(&self, id: &str, bound: Span) -> Vec<&Arrival> {
+    pub fn requests_after_leaving(&self, id: &str, bound: Span) -> Vec<&Arrival> {
         let late = |a: &&Arrival| {
             let told = a.leaving.is_some_and(|told| a.at.since(told) > bound);
             told && a.request && a.server.as_str() == id
