--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -314,11 +314,15 @@
 
     /// How many requests and orders reached a server from a VM in the longest of its rests, from half a second on.
     pub fn most_in_rest(&self, id: &str) -> usize {
-        self.most_in_rest_of(id, |_| true)
+        self.max_arrivals_in_cooldown_where(id, |_| true)
     }
 
     /// The same of some of what the server got.
-    pub fn most_in_rest_of(&self, id: &str, counts: impl Fn(&Arrival) -> bool) -> usize {
+    pub fn max_arrivals_in_cooldown_where(
+        &self,
+        id: &str,
+        counts: impl Fn(&Arrival) -> bool,
+    ) -> usize {
         let server: Server = name(id);
         let rests = self
             .notices
