--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -17,7 +17,7 @@
 const ALLOWED: usize = 2;
 
 fn check(world: &World, server: &str) {
-    let most = world.most_in_rest(server);
+    let most = world.max_arrivals_in_cooldown(server);
     let asked = world.notices.rests.len();
     assert!(asked > 0, "no rest was asked for");
     assert!(
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -313,7 +313,7 @@
     }
 
     /// How many requests and orders reached a server from a VM in the longest of its rests, from half a second on.
-    pub fn most_in_rest(&self, id: &str) -> usize {
+    pub fn max_arrivals_in_cooldown(&self, id: &str) -> usize {
         self.max_arrivals_in_cooldown_where(id, |_| true)
     }
 
