--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -33,7 +33,7 @@
     /// When the server first told that start that it leaves.
     pub leaving: Option<Instant>,
     /// Whether the server had told that start of the VM of a limit for as long as counts.
-    pub told: bool,
+    pub limit_known: bool,
     /// The server.
     pub server: Server,
 }
@@ -115,7 +115,7 @@
                 vm,
                 start,
                 leaving: self.notices.left.get(&key).copied(),
-                told: told.is_some_and(|at| *at + TOLD <= self.now),
+                limit_known: told.is_some_and(|at| *at + TOLD <= self.now),
                 server: server.clone(),
             });
         }
