--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -259,7 +259,9 @@
         let calls = format!("{:?} {:?}", world.requests, with(1));
         let bytes = postcard::to_stdvec(&with(1)).expect("bytes");
         let in_bytes = bytes.windows(secret.len()).any(|w| w == secret.as_bytes());
-        !in_bytes && !calls.contains(&secret) && !world.lines.iter().any(|l| l.contains(&secret))
+        !in_bytes
+            && !calls.contains(&secret)
+            && !world.log_lines.iter().any(|l| l.contains(&secret))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(24, 7))
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -95,7 +95,7 @@
 
 /// How often a line was written.
 fn lines(world: &World, code: &str) -> usize {
-    let lines = world.lines.iter();
+    let lines = world.log_lines.iter();
     lines.filter(|line| line.contains(code)).count()
 }
 
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -90,7 +90,7 @@
     world.send_request(0, post("second"));
     world.run(Span::from_millis(40));
     world.send_request(0, post("third"));
-    let mut lines = world.lines.iter();
+    let mut lines = world.log_lines.iter();
     let sent = lines.find(|line| line.contains("Sent") && line.contains("id=third"));
     let sent = sent.expect("it was sent");
     assert!(sent.ends_with("open=2"), "{sent}");
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -342,7 +342,7 @@
     world.run(Span::from_secs(1));
     world.vms[vm].store_silent = false;
     world.run(Span::from_secs(3));
-    let states = world.lines.iter().rev();
+    let states = world.log_lines.iter().rev();
     let mut states = states.filter(|line| line.contains("SchedulerState"));
     let last = states.next().expect("a line each second");
     assert!(last.contains(" running=0 unread=0 "), "{last}");
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -33,7 +33,7 @@
     let numbers = world.send_requests(150, Span::from_millis(40), busy);
     world.run(Span::from_secs(5));
     let ordered = world
-        .lines
+        .log_lines
         .iter()
         .filter(|line| line.contains("LoadOrdered"))
         .count();
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -143,7 +143,7 @@
         for vm in 0..6 {
             let said = |word: &str| {
                 let lines = world
-                    .lines
+                    .log_lines
                     .iter()
                     .filter(|line| line.contains(&format!(" vm{vm} ")));
                 lines.filter(|line| line.contains(word)).count()
@@ -155,7 +155,7 @@
             );
         }
         let lost = world
-            .lines
+            .log_lines
             .iter()
             .filter(|line| line.contains("PlatformLost"));
         assert!(lost.count() >= 3);
@@ -316,7 +316,7 @@
     }
     assert_eq!(world.holder(), Some(1));
     let taken = world
-        .lines
+        .log_lines
         .iter()
         .filter(|line| line.contains("LeaseTaken"));
     assert_eq!(taken.count(), 3);
--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -32,7 +32,7 @@
 /// How often a line of a kind was written.
 fn lines(world: &World, kind: &str) -> usize {
     world
-        .lines
+        .log_lines
         .iter()
         .filter(|line| line.contains(kind))
         .count()
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -30,7 +30,7 @@
 
 fn lines(world: &World, code: &str) -> usize {
     world
-        .lines
+        .log_lines
         .iter()
         .filter(|line| line.contains(code))
         .count()
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -172,7 +172,7 @@
     /// The requests, by number.
     pub requests: BTreeMap<u64, RequestRecord>,
     /// The log lines.
-    pub lines: Vec<String>,
+    pub log_lines: Vec<String>,
     /// Messages that VMs sent to each other.
     pub messages: u64,
     /// The same by kind.
@@ -267,7 +267,7 @@
             fallen: 0,
             probes: 0,
             requests: BTreeMap::new(),
-            lines: Vec::new(),
+            log_lines: Vec::new(),
             messages: 0,
             sent: BTreeMap::new(),
             tried: 0,
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -427,7 +427,7 @@
                 }
             }
             Effect::Log(record) => self
-                .lines
+                .log_lines
                 .push(format!("{now} vm{vm} {:?} {}", record.code, record.detail)),
             Effect::Measure(_) => {}
         }
