--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -246,14 +246,14 @@
     for vm in (0..6).filter(|vm| *vm != knows) {
         world.kill(vm, false);
     }
-    let before = world.sent["place"];
+    let before = world.messages_by_kind["place"];
     let mut asked = 0;
     for at in 0..150 {
         world.send_request(knows, draft(&format!("d{at}"), &format!("a{}", at % 12)));
         world.run(Span::from_millis(20));
         asked += 1;
     }
-    let given = world.sent["place"] - before;
+    let given = world.messages_by_kind["place"] - before;
     assert!(given <= asked * 2, "{given} places for {asked} requests");
     world.check_invariants();
 }
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -161,7 +161,9 @@
     /// Messages on tokens so far.
     fn messages(&self) -> u64 {
         let kinds = ["draw", "grant", "collect", "deposit"];
-        let sent = kinds.iter().filter_map(|kind| self.world.sent.get(kind));
+        let sent = kinds
+            .iter()
+            .filter_map(|kind| self.world.messages_by_kind.get(kind));
         sent.sum()
     }
 
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -176,7 +176,7 @@
     /// Messages that VMs sent to each other.
     pub messages: u64,
     /// The same by kind.
-    pub sent: BTreeMap<&'static str, u64>,
+    pub messages_by_kind: BTreeMap<&'static str, u64>,
     /// Calls of the key-value service that VMs made, whether or not it answers.
     pub tried: u64,
     tuning: Tuning,
@@ -269,7 +269,7 @@
             requests: BTreeMap::new(),
             log_lines: Vec::new(),
             messages: 0,
-            sent: BTreeMap::new(),
+            messages_by_kind: BTreeMap::new(),
             tried: 0,
             tuning,
             without,
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -420,7 +420,7 @@
             }
             Effect::SendMessage(address, _, message) => {
                 self.messages += 1;
-                *self.sent.entry(message.kind()).or_default() += 1;
+                *self.messages_by_kind.entry(message.kind()).or_default() += 1;
                 let to = (0..self.vms.len()).find(|to| setup::address(1, *to) == address);
                 if let Some(to) = to.filter(|_| net) {
                     self.at(now + WAY, Act::Peer(vm, to, message));
