--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -31,9 +31,9 @@
 #[test]
 fn orders_latenevercrash() {
     let mut world = ready();
-    world.late_orders = 0.35;
+    world.delayed_order_share = 0.35;
     let numbers = churn(&mut world, Span::from_secs(8), "a");
-    world.late_orders = 0.0;
+    world.delayed_order_share = 0.0;
     world.run(Span::from_secs(14));
     world.check_served(&numbers, 80);
     world.check_invariants();
@@ -42,7 +42,7 @@
 #[test]
 fn orders_latethroughtakeover() {
     let mut world = ready();
-    world.late_orders = 0.35;
+    world.delayed_order_share = 0.35;
     churn(&mut world, Span::from_secs(3), "a");
     let old = world.holder().expect("a holder");
     world.kill(old, false);
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -59,14 +59,14 @@
 #[test]
 fn engine_restartedmeetslateorders() {
     let mut world = warm();
-    world.late_orders = 0.5;
+    world.delayed_order_share = 0.5;
     let mut numbers = Vec::new();
     for start in 2..14 {
         let engine = format!("e{}", start % 4);
         world.restart_server(&engine, start);
         numbers.extend(world.send_light_load(Span::from_secs(1)));
     }
-    world.late_orders = 0.0;
+    world.delayed_order_share = 0.0;
     numbers.extend(world.send_light_load(Span::from_secs(14)));
     world.run(Span::from_secs(5));
     let (all, good) = (numbers.len(), world.count_served(&numbers));
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -154,7 +154,7 @@
     /// Whether it answers.
     pub store_up: bool,
     /// The share of orders that get no answer and are carried out seconds later.
-    pub late_orders: f64,
+    pub delayed_order_share: f64,
     /// The newest versions named.
     pub versions: BTreeMap<Arc<str>, u64>,
     /// All versions named, with the time of each.
@@ -258,7 +258,7 @@
             servers: BTreeMap::new(),
             store: Store::default(),
             store_up: true,
-            late_orders: 0.0,
+            delayed_order_share: 0.0,
             versions: BTreeMap::new(),
             names: Vec::new(),
             crashing: Crashing::default(),
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -436,7 +436,7 @@
     /// Sends an order. A late one gets no answer, and is carried out seconds later.
     pub(super) fn send_order(&mut self, vm: usize, id: u64, server: Server, order: Order) {
         let (now, start) = (self.now, self.vms[vm].start);
-        let late = self.rng.random_range(0.0..1.0) < self.late_orders;
+        let late = self.rng.random_range(0.0..1.0) < self.delayed_order_share;
         if late || !self.vms[vm].network_up {
             self.at(
                 now + order.answer_timeout,
