--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -57,7 +57,7 @@
 /// That a request crashed servers and no more than is allowed, and that no other one is refused for it.
 fn check(world: &World, path: &str) {
     let fingerprint = Fingerprint::of([path.as_bytes()]);
-    let ends = world.crashing.ends_of(fingerprint);
+    let ends = world.crashing.crash_count(fingerprint);
     assert!(ends >= 3, "{ends} servers ended");
     check_bound(world, fingerprint);
     check_others(world);
@@ -65,7 +65,7 @@
 
 fn check_bound(world: &World, fingerprint: Fingerprint) {
     let late = world.crashing.late_arrivals(fingerprint, CONTACT);
-    let ends = world.crashing.ends_of(fingerprint);
+    let ends = world.crashing.crash_count(fingerprint);
     assert!(late <= ALLOWED, "{late} arrivals, {ends} servers ended");
 }
 
@@ -182,13 +182,13 @@
     world.store_up = false;
     world.wake_watchers();
     repeat(&mut world, "/plan/crash", 8);
-    let ends = world.crashing.ends.len();
+    let ends = world.crashing.crashes.len();
     for vm in 0..6 {
         world.kill(vm, false);
         world.run(Span::from_secs(2));
         repeat(&mut world, "/plan/crash", 6);
     }
-    assert_eq!(world.crashing.ends.len(), ends);
+    assert_eq!(world.crashing.crashes.len(), ends);
     check(&world, "/plan/crash");
 }
 
@@ -206,13 +206,13 @@
     }
     world.vms[5].peers_reachable = true;
     world.run(Span::from_secs(2));
-    let ends = world.crashing.ends.len();
+    let ends = world.crashing.crashes.len();
     for at in 10..20 {
         let crashing = crashing(&mut world, "/plan/crash", at);
         world.send_request(5, crashing);
         world.run(REPEATED);
     }
-    let more = world.crashing.ends.len() - ends;
+    let more = world.crashing.crashes.len() - ends;
     assert!(more <= 1, "{more} more servers ended");
     check(&world, "/plan/crash");
 }
@@ -222,13 +222,13 @@
 fn crashing_afterallwerekilled() {
     let mut world = warm();
     repeat(&mut world, "/plan/crash", 8);
-    let ends = world.crashing.ends.len();
+    let ends = world.crashing.crashes.len();
     for vm in 0..6 {
         world.kill(vm, false);
     }
     world.run(Span::from_secs(2));
     repeat(&mut world, "/plan/crash", 20);
-    assert_eq!(world.crashing.ends.len(), ends);
+    assert_eq!(world.crashing.crashes.len(), ends);
     check(&world, "/plan/crash");
 }
 
@@ -360,7 +360,7 @@
     for mended in [true, false] {
         let mut world = warm();
         repeat(&mut world, "/plan/crash", 10);
-        let ends = world.crashing.ends.len();
+        let ends = world.crashing.crashes.len();
         if mended {
             world.crashing.fingerprints.clear();
         }
@@ -378,7 +378,7 @@
         if mended {
             assert_eq!(world.count_served(&numbers), numbers.len());
         } else {
-            let more = world.crashing.ends.len() - ends;
+            let more = world.crashing.crashes.len() - ends;
             assert!(more <= 1, "{more} servers ended");
         }
         world.check_invariants();
@@ -462,7 +462,7 @@
             let crashing = &series.world.crashing;
             for arrival in &crashing.arrivals[seen..] {
                 let fingerprint = arrival.fingerprint;
-                let third = crashing.third_end(fingerprint);
+                let third = crashing.third_crash(fingerprint);
                 let counts = third.is_some_and(|third| arrival.at > third + CONTACT);
                 if counts && series.was_well(arrival.vm, arrival.at) {
                     *late.entry(fingerprint).or_default() += 1;
@@ -470,7 +470,7 @@
             }
         }
         for (fingerprint, late) in &late {
-            let ends = series.world.crashing.ends_of(*fingerprint);
+            let ends = series.world.crashing.crash_count(*fingerprint);
             assert!(
                 *late <= ALLOWED,
                 "seed {seed}: {late} arrivals, {ends} servers ended"
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -47,13 +47,13 @@
     /// Where each came from that reached a server.
     pub arrivals: Vec<Arrival>,
     /// When a server ended under each.
-    pub ends: Vec<(Instant, Fingerprint)>,
+    pub crashes: Vec<(Instant, Fingerprint)>,
 }
 
 impl Crashing {
     /// How often a request reached a server later than a span after the third server ended under it.
     pub fn late_arrivals(&self, fingerprint: Fingerprint, span: Span) -> usize {
-        let Some(third) = self.third_end(fingerprint) else {
+        let Some(third) = self.third_crash(fingerprint) else {
             return 0;
         };
         let from = third + span;
@@ -62,14 +62,14 @@
     }
 
     /// When the third server ended under a request.
-    pub fn third_end(&self, fingerprint: Fingerprint) -> Option<Instant> {
-        let mut ends = self.ends.iter().filter(|(_, of)| *of == fingerprint);
+    pub fn third_crash(&self, fingerprint: Fingerprint) -> Option<Instant> {
+        let mut ends = self.crashes.iter().filter(|(_, of)| *of == fingerprint);
         ends.nth(2).map(|(at, _)| *at)
     }
 
     /// How many servers ended under a request.
-    pub fn ends_of(&self, fingerprint: Fingerprint) -> usize {
-        let ends = self.ends.iter();
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
+        let ends = self.crashes.iter();
         ends.filter(|(_, of)| *of == fingerprint).count()
     }
 }
@@ -93,7 +93,7 @@
     /// A server ends under a request.
     pub(super) fn fall_under(&mut self, server: &Server, fingerprint: Fingerprint) {
         if self.servers[server].0.up {
-            self.crashing.ends.push((self.now, fingerprint));
+            self.crashing.crashes.push((self.now, fingerprint));
             self.crash_and_replace(server);
         }
     }
