--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -80,11 +80,11 @@
     let mut world = ready();
     world.add_server("e9", 9, true);
     let id: Server = support::setup::name("e9");
-    world.servers.get_mut(&id).expect("added").0.base = None;
+    world.servers.get_mut(&id).expect("added").0.base_ready_at = None;
     churn(&mut world, Span::from_secs(5), "a");
     let engine = &world.servers[&id].0;
     assert!(
-        engine.base.is_some() && engine.loads > 0,
+        engine.base_ready_at.is_some() && engine.loads > 0,
         "{} loads",
         engine.loads
     );
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -43,7 +43,7 @@
     /// Its adapters.
     pub slots: BTreeMap<Arc<str>, Slot>,
     /// Whether it holds the base model, and from when on.
-    pub base: Option<Instant>,
+    pub base_ready_at: Option<Instant>,
     /// Adapters that it holds at most.
     pub places: usize,
     /// Orders accepted.
@@ -85,7 +85,7 @@
             id: super::setup::name(id),
             adapters: engine,
             slots: BTreeMap::new(),
-            base: Some(Instant::default()),
+            base_ready_at: Some(Instant::default()),
             places,
             orders: 0,
             fence: 0,
@@ -109,7 +109,7 @@
     pub fn restart(&mut self, now: Instant, start: Incarnation) {
         self.slots.clear();
         self.beside.clear();
-        self.base = Some(now);
+        self.base_ready_at = Some(now);
         self.orders = 0;
         self.fence = 0;
         self.free = Instant::default();
@@ -129,10 +129,10 @@
         }
         let Some(adapter) = &order.adapter else {
             self.orders += 1;
-            self.base = Some(now + Span::from_millis(720));
+            self.base_ready_at = Some(now + Span::from_millis(720));
             return OrderOutcome::Accepted;
         };
-        if self.base.is_none_or(|at| at > now) {
+        if self.base_ready_at.is_none_or(|at| at > now) {
             return OrderOutcome::Invalid;
         }
         self.fences.push((now, order.fence));
@@ -229,7 +229,7 @@
             adapters: there.into_iter().map(resident).collect(),
         };
         Report {
-            models: if self.base.is_some_and(|at| at <= now) {
+            models: if self.base_ready_at.is_some_and(|at| at <= now) {
                 vec![base]
             } else {
                 Vec::new()
@@ -238,7 +238,7 @@
                 .into_iter()
                 .map(|(name, slot)| (MODEL.into(), name.clone(), slot.version))
                 .collect(),
-            busy: self.base.is_some_and(|at| at > now),
+            busy: self.base_ready_at.is_some_and(|at| at > now),
             orders: self.orders,
             start: Some(self.start),
         }
