--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -28,8 +28,17 @@
 /// Once an engine has taken an order of one holder, it takes none of the holder before.
 fn one_at_a_time(world: &World) {
     for (engine, _) in world.servers.values() {
-        let fences: Vec<u64> = engine.fences.iter().map(|(_, fence)| *fence).collect();
-        assert!(fences.is_sorted(), "{}: {:?}", engine.id, engine.fences);
+        let fences: Vec<u64> = engine
+            .accepted_fences
+            .iter()
+            .map(|(_, fence)| *fence)
+            .collect();
+        assert!(
+            fences.is_sorted(),
+            "{}: {:?}",
+            engine.id,
+            engine.accepted_fences
+        );
         assert!(
             engine.late_fence.is_none(),
             "{}: {:?}",
@@ -89,7 +98,7 @@
     let fences = world
         .servers
         .values()
-        .flat_map(|(engine, _)| &engine.fences);
+        .flat_map(|(engine, _)| &engine.accepted_fences);
     let first = fences
         .clone()
         .map(|(_, fence)| *fence)
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -59,7 +59,7 @@
     /// Why it crashed, if it did.
     pub crash: Option<String>,
     /// The fencing numbers of the orders it accepted, with their times.
-    pub fences: Vec<(Instant, u64)>,
+    pub accepted_fences: Vec<(Instant, u64)>,
     /// The last order under a lower number than one before, and when it came.
     pub late_fence: Option<(Instant, u64)>,
     /// Whether it turns requests away.
@@ -93,7 +93,7 @@
             reading: (Instant::default(), Span::ZERO),
             up: true,
             crash: None,
-            fences: Vec::new(),
+            accepted_fences: Vec::new(),
             late_fence: None,
             resting: false,
             failing: false,
@@ -135,7 +135,7 @@
         if self.base_ready_at.is_none_or(|at| at > now) {
             return OrderOutcome::Invalid;
         }
-        self.fences.push((now, order.fence));
+        self.accepted_fences.push((now, order.fence));
         let outcome = if order.load {
             self.load(now, adapter, order.version.unwrap_or(newest))
         } else {
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -630,7 +630,7 @@
         }
         for (engine, _) in self.servers.values() {
             assert_eq!(engine.crash, None, "{} crashed", engine.id);
-            let falls = engine.fences.windows(2).any(|w| w[1].1 < w[0].1);
+            let falls = engine.accepted_fences.windows(2).any(|w| w[1].1 < w[0].1);
             assert!(!falls, "{} took orders under a lower number", engine.id);
         }
         for host in &self.vms {
