--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -40,10 +40,10 @@
             engine.accepted_fences
         );
         assert!(
-            engine.late_fence.is_none(),
+            engine.stale_fence.is_none(),
             "{}: {:?}",
             engine.id,
-            engine.late_fence
+            engine.stale_fence
         );
     }
 }
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -61,7 +61,7 @@
     /// The fencing numbers of the orders it accepted, with their times.
     pub accepted_fences: Vec<(Instant, u64)>,
     /// The last order under a lower number than one before, and when it came.
-    pub late_fence: Option<(Instant, u64)>,
+    pub stale_fence: Option<(Instant, u64)>,
     /// Whether it turns requests away.
     pub resting: bool,
     /// Whether it fails what it runs.
@@ -94,7 +94,7 @@
             up: true,
             crash: None,
             accepted_fences: Vec::new(),
-            late_fence: None,
+            stale_fence: None,
             resting: false,
             failing: false,
             loads: 0,
@@ -121,7 +121,7 @@
     pub fn order(&mut self, now: Instant, newest: u64, order: &Order) -> OrderOutcome {
         match order {
             _ if order.fence < self.fence => {
-                self.late_fence = Some((now, order.fence));
+                self.stale_fence = Some((now, order.fence));
                 return OrderOutcome::Fenced;
             }
             _ if order.expected != self.orders => return OrderOutcome::Conflict,
