--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -99,7 +99,7 @@
 fn round(beside: usize) -> (u32, usize) {
     let mut world = World::new(3, 4, 1);
     for (engine, _) in world.servers.values_mut() {
-        engine.room_beside = beside;
+        engine.local_copy_capacity = beside;
     }
     world.run(Span::from_secs(2));
     let rare = |at| {
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -73,7 +73,7 @@
     /// Copies of adapters that lie beside it, the last one used last.
     pub beside: Vec<Arc<str>>,
     /// How many do.
-    pub room_beside: usize,
+    pub local_copy_capacity: usize,
     /// Its start.
     pub start: Incarnation,
 }
@@ -100,7 +100,7 @@
             loads: 0,
             fetches: 0,
             beside: Vec::new(),
-            room_beside: BESIDE,
+            local_copy_capacity: BESIDE,
             start: Incarnation(1),
         }
     }
@@ -174,7 +174,7 @@
     fn keep_beside(&mut self, adapter: &Arc<str>) {
         self.beside.retain(|other| other != adapter);
         self.beside.push(adapter.clone());
-        let over = self.beside.len().saturating_sub(self.room_beside);
+        let over = self.beside.len().saturating_sub(self.local_copy_capacity);
         self.beside.drain(..over);
     }
 
