--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -192,7 +192,10 @@
         world.run(Span::from_millis(320));
     }
     world.run(Span::from_secs(5));
-    let longest = world.servers.values().map(|(engine, _)| engine.reading.1);
+    let longest = world
+        .servers
+        .values()
+        .map(|(engine, _)| engine.prefill_busy.1);
     let longest = longest.max().expect("engines");
     assert!(longest <= Span::from_millis(120), "{longest}");
     world.check_invariants();
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -53,7 +53,7 @@
     /// When the prompts given to it are read.
     pub free: Instant,
     /// When it began to read without a gap, and the longest that it did so.
-    pub reading: (Instant, Span),
+    pub prefill_busy: (Instant, Span),
     /// Whether it answers at all.
     pub up: bool,
     /// Why it crashed, if it did.
@@ -90,7 +90,7 @@
             orders: 0,
             fence: 0,
             free: Instant::default(),
-            reading: (Instant::default(), Span::ZERO),
+            prefill_busy: (Instant::default(), Span::ZERO),
             up: true,
             crash: None,
             accepted_fences: Vec::new(),
@@ -205,12 +205,12 @@
             return None;
         }
         if now > self.free {
-            self.reading.0 = now;
+            self.prefill_busy.0 = now;
         }
         let begun = self.free.max(now) + Span::from_millis(u64::from(prompt) / RATE);
         let end = begun + STEP.times(u64::from(output));
         self.free = begun;
-        self.reading.1 = self.reading.1.max(begun.since(self.reading.0));
+        self.prefill_busy.1 = self.prefill_busy.1.max(begun.since(self.prefill_busy.0));
         slot.busy = slot.busy.max(end);
         Some((begun, end))
     }
