--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -12,14 +12,14 @@
 use dahliastile_gateway::account::Account;
 use dahliastile_gateway::effect::RefusalReason;
 use rand::Rng;
-use support::series::{CONTACT, Series, VMS, seeds};
+use support::series::{CONTACT, FaultSeries, VMS, seeds};
 use support::{Answer, accounts, config};
 
 /// Within so long a configuration is in force.
 const IN_FORCE: Span = Span::from_secs(2);
 
 /// The operator writes the next configuration, if it can.
-fn configure(series: &mut Series, written: &mut Vec<(Instant, u64)>) {
+fn configure(series: &mut FaultSeries, written: &mut Vec<(Instant, u64)>) {
     if series.world.store_up {
         let version = written.last().map_or(1, |(_, version)| *version) + 1;
         series.world.configure(config(version));
@@ -28,7 +28,7 @@
 }
 
 /// The key-value service drops its history, a server's entry goes and comes back, or one is rewritten.
-fn churn(series: &mut Series) {
+fn churn(series: &mut FaultSeries) {
     let server = format!("e{}", series.rng.random_range(0..8));
     let world = &mut series.world;
     match series.rng.random_range(0..40) {
@@ -43,7 +43,7 @@
 }
 
 /// That each VM that is well has the configuration that it must have.
-fn check(series: &Series, written: &[(Instant, u64)], seed: u64) {
+fn check(series: &FaultSeries, written: &[(Instant, u64)], seed: u64) {
     let now = series.world.now;
     let mut due = written.iter().rev();
     let due = due.find(|(at, _)| *at + IN_FORCE <= now);
@@ -64,7 +64,7 @@
 #[test]
 fn config_isinforceamongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = Series::new(seed);
+        let mut series = FaultSeries::new(seed);
         let mut written = vec![(series.world.now, 1)];
         let end = series.world.now + Span::from_secs(60);
         while series.world.now < end {
@@ -103,7 +103,7 @@
 }
 
 /// The operator adds a key, moves one to another account or takes one away, if it can.
-fn change_keys(series: &mut Series, written: &mut Written) {
+fn change_keys(series: &mut FaultSeries, written: &mut Written) {
     if !series.world.store_up {
         return;
     }
@@ -139,7 +139,7 @@
 #[test]
 fn keys_inforceamongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = Series::new(seed);
+        let mut series = FaultSeries::new(seed);
         let mut written: Written = vec![(series.world.now, Holders::new())];
         let end = series.world.now + Span::from_secs(60);
         let mut asked: Vec<(u64, usize, usize)> = Vec::new();
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -17,7 +17,7 @@
 use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use rand::Rng;
-use support::series::{CONTACT, Series, VMS, seeds};
+use support::series::{CONTACT, FaultSeries, VMS, seeds};
 use support::setup::{call, draft, work};
 use support::{Answer, World};
 
@@ -443,7 +443,7 @@
 #[test]
 fn crashing_amongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = Series::new(seed);
+        let mut series = FaultSeries::new(seed);
         let mut late: BTreeMap<Fingerprint, usize> = BTreeMap::new();
         let end = series.world.now + Span::from_secs(60);
         let mut at = 0;
@@ -481,7 +481,7 @@
 }
 
 /// A draft and a lookup at some VM, and now and then a server that ends by itself.
-fn ordinary(series: &mut Series, at: usize) {
+fn ordinary(series: &mut FaultSeries, at: usize) {
     let vm = series.rng.random_range(0..VMS);
     let adapter = format!("a{}", series.rng.random_range(0..12));
     series
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -9,7 +9,7 @@
 use dahliastile_gateway::settings::Tuning;
 use rand::Rng;
 use support::World;
-use support::series::{Series, VMS, seeds};
+use support::series::{FaultSeries, VMS, seeds};
 use support::setup::{draft, mixed};
 use support::world::Arrival;
 
@@ -195,7 +195,7 @@
 #[test]
 fn leaving_amongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = Series::new(seed);
+        let mut series = FaultSeries::new(seed);
         let end = series.world.now + Span::from_secs(40);
         let (mut asked, mut leaving) = (0_usize, Vec::new());
         while series.world.now < end {
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::request::notice::Rate;
 use rand::Rng;
-use support::series::{Series, VMS, seeds};
+use support::series::{FaultSeries, VMS, seeds};
 use support::setup::{call, mixed};
 use support::{Answer, World};
 
@@ -191,7 +191,7 @@
 #[test]
 fn limit_amongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = Series::new(seed);
+        let mut series = FaultSeries::new(seed);
         let end = series.world.now + Span::from_secs(40);
         let mut asked = 0_usize;
         let servers: Vec<String> = (0..16)
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use support::World;
 use support::accounts::{COST, account, allowed, call, config, shares, tuning, worst_window};
-use support::series::{Series, VMS, seeds};
+use support::series::{FaultSeries, VMS, seeds};
 
 /// A small account's tokens a second.
 const SMALL: u64 = 4_200;
@@ -359,7 +359,7 @@
 #[test]
 fn limits_holdamongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = Series::tuned(seed, tuning());
+        let mut series = FaultSeries::tuned(seed, tuning());
         let mut load = Load::among(
             std::mem::replace(&mut series.world, World::new(0, 0, 0)),
             VMS,
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -8,7 +8,7 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 use support::World;
-use support::series::{Series, VMS, seeds};
+use support::series::{FaultSeries, VMS, seeds};
 use support::setup::mixed;
 
 /// What the recorded engines asked for.
@@ -171,7 +171,7 @@
 #[test]
 fn rest_amongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = Series::new(seed);
+        let mut series = FaultSeries::new(seed);
         let end = series.world.now + Span::from_secs(40);
         let (mut asked, mut resting) = (0_usize, Vec::new());
         while series.world.now < end {
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -27,7 +27,7 @@
 }
 
 /// A series of faults.
-pub struct Series {
+pub struct FaultSeries {
     /// The fleet.
     pub world: World,
     /// Random numbers of the series.
@@ -46,7 +46,7 @@
     faulty: f64,
 }
 
-impl Series {
+impl FaultSeries {
     /// A fleet that has started. With an odd seed processor time is charged.
     pub fn new(seed: u64) -> Self {
         Self::tuned(seed, Tuning::default())
