--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -12,7 +12,7 @@
 use dahliastile_gateway::account::Account;
 use dahliastile_gateway::effect::RefusalReason;
 use rand::Rng;
-use support::series::{CONTACT, FaultSeries, VMS, seeds};
+use support::series::{FaultSeries, RECOVERY_TIME, VMS, seeds};
 use support::{Answer, accounts, config};
 
 /// Within so long a configuration is in force.
@@ -47,7 +47,7 @@
     let now = series.world.now;
     let mut due = written.iter().rev();
     let due = due.find(|(at, _)| *at + IN_FORCE <= now);
-    let Some((_, due)) = due.filter(|_| now >= series.store_troubled + CONTACT) else {
+    let Some((_, due)) = due.filter(|_| now >= series.store_troubled + RECOVERY_TIME) else {
         return;
     };
     for vm in (0..VMS).filter(|vm| series.was_well(*vm, now)) {
@@ -153,7 +153,7 @@
                 series.rng.random_range(0..VMS),
                 series.rng.random_range(0..KEYS),
             );
-            let stable = series.world.now >= series.store_troubled + CONTACT;
+            let stable = series.world.now >= series.store_troubled + RECOVERY_TIME;
             if stable && series.was_well(vm, series.world.now) && written.len() > 1 {
                 let call = accounts::call("r", &key(number));
                 asked.push((series.world.send_request(vm, call), vm, number));
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -17,7 +17,7 @@
 use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use rand::Rng;
-use support::series::{CONTACT, FaultSeries, VMS, seeds};
+use support::series::{FaultSeries, RECOVERY_TIME, VMS, seeds};
 use support::setup::{call, draft, work};
 use support::{Answer, World};
 
@@ -64,7 +64,7 @@
 }
 
 fn check_bound(world: &World, fingerprint: Fingerprint) {
-    let late = world.crashing.late_arrivals(fingerprint, CONTACT);
+    let late = world.crashing.late_arrivals(fingerprint, RECOVERY_TIME);
     let ends = world.crashing.crash_count(fingerprint);
     assert!(late <= ALLOWED, "{late} arrivals, {ends} servers ended");
 }
@@ -463,7 +463,7 @@
             for arrival in &crashing.arrivals[seen..] {
                 let fingerprint = arrival.fingerprint;
                 let third = crashing.third_crash(fingerprint);
-                let counts = third.is_some_and(|third| arrival.at > third + CONTACT);
+                let counts = third.is_some_and(|third| arrival.at > third + RECOVERY_TIME);
                 if counts && series.was_well(arrival.vm, arrival.at) {
                     *late.entry(fingerprint).or_default() += 1;
                 }
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -9,7 +9,7 @@
 use super::World;
 
 /// After so long without a fault a VM counts as well.
-pub const CONTACT: Span = Span::from_secs(3);
+pub const RECOVERY_TIME: Span = Span::from_secs(3);
 /// The time between two steps.
 const STEP: Span = Span::from_millis(50);
 /// VMs, in three availability zones.
@@ -90,7 +90,7 @@
 
     /// Whether a VM was well at a time, and all the while before that counts.
     pub fn was_well(&self, vm: usize, at: Instant) -> bool {
-        at >= self.troubled[vm] + CONTACT
+        at >= self.troubled[vm] + RECOVERY_TIME
     }
 
     /// The same for a time that has passed.
@@ -99,7 +99,7 @@
         let around = &self.history[after.saturating_sub(1)..(after + 1).min(self.history.len())];
         around
             .iter()
-            .all(|(_, troubled)| at >= troubled[vm] + CONTACT)
+            .all(|(_, troubled)| at >= troubled[vm] + RECOVERY_TIME)
     }
 
     /// One of all VMs, more often than not one of those that others hear from.
