--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -220,7 +220,7 @@
             let late = series
                 .world
                 .requests_after_leaving(server, Span::from_secs(2));
-            let counts = |arrival: &&&Arrival| series.had_been_well(arrival.vm, arrival.at);
+            let counts = |arrival: &&&Arrival| series.was_fault_free(arrival.vm, arrival.at);
             let late: Vec<_> = late.iter().filter(counts).collect();
             assert!(late.is_empty(), "seed {seed} {server}: {late:?}");
         }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -220,7 +220,7 @@
         }
         for (_, server) in &limited {
             let over = series.world.windows_over_limit_where(server, |arrival| {
-                arrival.limit_known && series.had_been_well(arrival.vm, arrival.at)
+                arrival.limit_known && series.was_fault_free(arrival.vm, arrival.at)
             });
             assert!(
                 over.is_empty(),
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -202,7 +202,7 @@
         for server in &resting {
             let most = series
                 .world
-                .max_arrivals_in_cooldown_where(server, |a| series.had_been_well(a.vm, a.at));
+                .max_arrivals_in_cooldown_where(server, |a| series.was_fault_free(a.vm, a.at));
             assert!(
                 most <= ALLOWED,
                 "seed {seed} {server}: {most} requests in a rest"
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -94,7 +94,7 @@
     }
 
     /// The same for a time that has passed.
-    pub fn had_been_well(&self, vm: usize, at: Instant) -> bool {
+    pub fn was_fault_free(&self, vm: usize, at: Instant) -> bool {
         let after = self.history.partition_point(|(time, _)| *time < at);
         let around = &self.history[after.saturating_sub(1)..(after + 1).min(self.history.len())];
         around
