--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -50,7 +50,7 @@
     let Some((_, due)) = due.filter(|_| now >= series.store_troubled + RECOVERY_TIME) else {
         return;
     };
-    for vm in (0..VMS).filter(|vm| series.was_well(*vm, now)) {
+    for vm in (0..VMS).filter(|vm| series.is_fault_free(*vm, now)) {
         let gateway = series.world.vms[vm].gateway.as_ref().expect("it runs");
         let version = gateway.config_version();
         assert!(
@@ -154,7 +154,7 @@
                 series.rng.random_range(0..KEYS),
             );
             let stable = series.world.now >= series.store_troubled + RECOVERY_TIME;
-            if stable && series.was_well(vm, series.world.now) && written.len() > 1 {
+            if stable && series.is_fault_free(vm, series.world.now) && written.len() > 1 {
                 let call = accounts::call("r", &key(number));
                 asked.push((series.world.send_request(vm, call), vm, number));
             }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -464,7 +464,7 @@
                 let fingerprint = arrival.fingerprint;
                 let third = crashing.third_crash(fingerprint);
                 let counts = third.is_some_and(|third| arrival.at > third + RECOVERY_TIME);
-                if counts && series.was_well(arrival.vm, arrival.at) {
+                if counts && series.is_fault_free(arrival.vm, arrival.at) {
                     *late.entry(fingerprint).or_default() += 1;
                 }
             }
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -89,7 +89,7 @@
     }
 
     /// Whether a VM was well at a time, and all the while before that counts.
-    pub fn was_well(&self, vm: usize, at: Instant) -> bool {
+    pub fn is_fault_free(&self, vm: usize, at: Instant) -> bool {
         at >= self.troubled[vm] + RECOVERY_TIME
     }
 
