--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -47,7 +47,7 @@
     let now = series.world.now;
     let mut due = written.iter().rev();
     let due = due.find(|(at, _)| *at + IN_FORCE <= now);
-    let Some((_, due)) = due.filter(|_| now >= series.store_troubled + RECOVERY_TIME) else {
+    let Some((_, due)) = due.filter(|_| now >= series.last_store_fault + RECOVERY_TIME) else {
         return;
     };
     for vm in (0..VMS).filter(|vm| series.is_fault_free(*vm, now)) {
@@ -153,7 +153,7 @@
                 series.rng.random_range(0..VMS),
                 series.rng.random_range(0..KEYS),
             );
-            let stable = series.world.now >= series.store_troubled + RECOVERY_TIME;
+            let stable = series.world.now >= series.last_store_fault + RECOVERY_TIME;
             if stable && series.is_fault_free(vm, series.world.now) && written.len() > 1 {
                 let call = accounts::call("r", &key(number));
                 asked.push((series.world.send_request(vm, call), vm, number));
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -37,7 +37,7 @@
     /// The same after each step, with its time.
     history: Vec<(Instant, Vec<Instant>)>,
     /// When the key-value service was.
-    pub store_troubled: Instant,
+    pub last_store_fault: Instant,
     /// When it answers again.
     store_back: Instant,
     /// The faults.
@@ -67,7 +67,7 @@
         Self {
             troubled: vec![world.now; VMS],
             history: vec![(world.now, vec![world.now; VMS])],
-            store_troubled: world.now,
+            last_store_fault: world.now,
             store_back: world.now,
             rng: ChaCha8Rng::seed_from_u64(seed),
             faults: Vec::new(),
@@ -179,7 +179,7 @@
             _ => {}
         }
         if !self.world.store_up {
-            self.store_troubled = now;
+            self.last_store_fault = now;
         }
     }
 
