--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -20,7 +20,7 @@
 
 /// A fleet that knows two accounts without limits.
 fn warm() -> World {
-    let mut world = World::tuned(6, 2, 4, tuning());
+    let mut world = World::with_tuning(6, 2, 4, tuning());
     world.configure(config(2, accounts()));
     world.run(Span::from_secs(4));
     world
@@ -129,7 +129,7 @@
 /// Without accounts in the configuration no key is needed.
 #[test]
 fn accounts_noneconfigured() {
-    let mut world = World::tuned(3, 2, 4, tuning());
+    let mut world = World::with_tuning(3, 2, 4, tuning());
     world.run(Span::from_secs(4));
     assert!(served(&outcome(
         &mut world,
@@ -238,7 +238,7 @@
     fn prints(text: String, steps: Vec<u8>) -> bool {
         let secret: String = text.chars().filter(char::is_ascii_alphanumeric).collect();
         let secret = format!("secret{secret}");
-        let mut world = World::tuned(3, 1, 2, tuning());
+        let mut world = World::with_tuning(3, 1, 2, tuning());
         let with = |version| config(version, vec![account("north", &[&secret], 9_000)]);
         for (at, step) in steps.iter().enumerate() {
             let version = 2 + at as u64;
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -19,7 +19,7 @@
         fencing: false,
         ..Tuning::default()
     };
-    let mut world = World::tuned(4, 4, 1, tuning);
+    let mut world = World::with_tuning(4, 4, 1, tuning);
     world.run(Span::from_secs(2));
     world.send_light_load(Span::from_secs(2));
     world
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -52,7 +52,7 @@
 impl Load {
     /// A fleet with eight small accounts, two middling and two large ones.
     fn new(vms: usize, seed: u64) -> Self {
-        Self::among(World::tuned(vms, 0, 4, tuning()), vms, seed)
+        Self::among(World::with_tuning(vms, 0, 4, tuning()), vms, seed)
     }
 
     fn among(world: World, vms: usize, seed: u64) -> Self {
@@ -359,7 +359,7 @@
 #[test]
 fn limits_holdamongfaults() {
     for seed in 0..seeds(10) {
-        let mut series = FaultSeries::tuned(seed, tuning());
+        let mut series = FaultSeries::with_tuning(seed, tuning());
         let mut load = Load::among(
             std::mem::replace(&mut series.world, World::new(0, 0, 0)),
             VMS,
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -49,11 +49,11 @@
 impl FaultSeries {
     /// A fleet that has started. With an odd seed processor time is charged.
     pub fn new(seed: u64) -> Self {
-        Self::tuned(seed, Tuning::default())
+        Self::with_tuning(seed, Tuning::default())
     }
 
     /// The same with other figures.
-    pub fn tuned(seed: u64, tuning: Tuning) -> Self {
+    pub fn with_tuning(seed: u64, tuning: Tuning) -> Self {
         let strength = |vm| if vm < STRONG { 50 } else { 12 };
         let strengths: Vec<u32> = (0..VMS).map(strength).collect();
         let mut world = World::uneven(&strengths, ENGINES, 4, tuning);
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -191,11 +191,11 @@
 impl World {
     /// A fleet of VMs, engines and plain servers that has just started.
     pub fn new(vms: usize, engines: usize, plain: usize) -> Self {
-        Self::tuned(vms, engines, plain, Tuning::default())
+        Self::with_tuning(vms, engines, plain, Tuning::default())
     }
 
     /// The same with other figures.
-    pub fn tuned(vms: usize, engines: usize, plain: usize, tuning: Tuning) -> Self {
+    pub fn with_tuning(vms: usize, engines: usize, plain: usize, tuning: Tuning) -> Self {
         Self::uneven(&vec![USUAL; vms], engines, plain, tuning)
     }
 
