--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -138,7 +138,7 @@
         for strong in strengths.iter_mut().take(6) {
             *strong = 50;
         }
-        let mut world = World::uneven(&strengths, 4, 1, Tuning::default());
+        let mut world = World::with_strengths(&strengths, 4, 1, Tuning::default());
         world.run(Span::from_secs(4));
         for vm in 0..6 {
             world.kill(vm, true);
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -310,7 +310,7 @@
 #[test]
 fn holder_isthestrongestthere() {
     let strengths = [12, 10, 25, 12, 50, 10, 25, 12];
-    let mut world = World::uneven(&strengths, 4, 1, Tuning::default());
+    let mut world = World::with_strengths(&strengths, 4, 1, Tuning::default());
     world.run(Span::from_secs(3));
     assert_eq!(world.holder(), Some(4));
     world.store.watched_by.clear();
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -234,7 +234,7 @@
 #[test]
 fn leaving_declinedplaceisnotgivenagain() {
     let weak = 5;
-    let mut world = World::uneven(&[25, 25, 25, 25, 25, weak], 12, 4, Tuning::default());
+    let mut world = World::with_strengths(&[25, 25, 25, 25, 25, weak], 12, 4, Tuning::default());
     world.run(Span::from_secs(2));
     world.send_heavy_load(Span::from_secs(2));
     for server in 0..12 {
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -269,7 +269,7 @@
         fencing: false,
         ..Tuning::default()
     };
-    let mut world = World::uneven(&strengths, 4, 1, tuning);
+    let mut world = World::with_strengths(&strengths, 4, 1, tuning);
     world.run(Span::from_secs(3));
     assert_eq!(world.holder(), Some(4));
     world.kill(4, true);
@@ -314,7 +314,7 @@
         lease_guard: Span::from_millis(1_500),
         ..Tuning::default()
     };
-    let mut world = World::uneven(&strengths, 4, 1, tuning);
+    let mut world = World::with_strengths(&strengths, 4, 1, tuning);
     world.run(Span::from_secs(4));
     assert_eq!(world.holder(), Some(2));
     for _ in 0..3 {
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -257,7 +257,7 @@
 #[test]
 fn keeper_failsagainandagain() {
     let strengths: Vec<u32> = (0..70).map(|vm| if vm < 6 { 50 } else { 12 }).collect();
-    let world = World::uneven(&strengths, 0, 4, tuning());
+    let world = World::with_strengths(&strengths, 0, 4, tuning());
     let mut load = Load::among(world, 70, 7);
     load.flood(&[0, 8, 10]);
     let begin = load.world.now;
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -15,7 +15,7 @@
 fn fleet() -> World {
     let strength = |vm| if vm < STRONG { 50 } else { 12 };
     let strengths: Vec<u32> = (0..VMS).map(strength).collect();
-    let mut world = World::uneven(&strengths, 4, 1, Tuning::default());
+    let mut world = World::with_strengths(&strengths, 4, 1, Tuning::default());
     world.run(Span::from_secs(6));
     world
 }
--- a/crates/gateway/tests/support/series.rs
+++ b/crates/gateway/tests/support/series.rs
@@ -56,7 +56,7 @@
     pub fn with_tuning(seed: u64, tuning: Tuning) -> Self {
         let strength = |vm| if vm < STRONG { 50 } else { 12 };
         let strengths: Vec<u32> = (0..VMS).map(strength).collect();
-        let mut world = World::uneven(&strengths, ENGINES, 4, tuning);
+        let mut world = World::with_strengths(&strengths, ENGINES, 4, tuning);
         if seed % 2 == 1 {
             for (vm, host) in world.vms.iter_mut().enumerate() {
                 let each = if vm < STRONG { 100 } else { 400 };
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -196,7 +196,7 @@
 
     /// The same with other figures.
     pub fn with_tuning(vms: usize, engines: usize, plain: usize, tuning: Tuning) -> Self {
-        Self::uneven(&vec![USUAL; vms], engines, plain, tuning)
+        Self::with_strengths(&vec![USUAL; vms], engines, plain, tuning)
     }
 
     /// The same without some features.
@@ -211,7 +211,7 @@
     }
 
     /// The same with VMs of different strength.
-    pub fn uneven(strengths: &[u32], engines: usize, plain: usize, tuning: Tuning) -> Self {
+    pub fn with_strengths(strengths: &[u32], engines: usize, plain: usize, tuning: Tuning) -> Self {
         Self::build(
             strengths,
             engines,
