--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -41,7 +41,7 @@
             fencing: false,
             ..Tuning::default()
         };
-        let mut world = World::without(4, 4, 1, tuning, without);
+        let mut world = World::without_features(4, 4, 1, tuning, without);
         world.run(Span::from_secs(2));
         let mut numbers = Vec::new();
         for round in 0..6_u64 {
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -347,7 +347,7 @@
 #[test]
 fn split_alonestarvessmallaccounts() {
     let without = DisabledFeatures::from_iter([Feature::TokenPool]);
-    let world = World::without(70, 0, 4, tuning(), without);
+    let world = World::without_features(70, 0, 4, tuning(), without);
     let mut load = Load::among(world, 70, 2);
     load.run(Span::from_secs(8));
     load.check();
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -200,7 +200,7 @@
     }
 
     /// The same without some features.
-    pub fn without(
+    pub fn without_features(
         vms: usize,
         engines: usize,
         plain: usize,
