--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -208,7 +208,7 @@
     world.run(IN_FORCE);
     let draft = CallerRequest {
         key: Some(key("key-n1")),
-        ..setup::draft("r", "a1")
+        ..setup::adapter_request("r", "a1")
     };
     let number = world.send_request(0, draft);
     world.run(Span::from_secs(3));
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -18,7 +18,7 @@
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use rand::Rng;
 use support::series::{FaultSeries, RECOVERY_TIME, VMS, seeds};
-use support::setup::{call, draft, work};
+use support::setup::{adapter_request, call, work};
 use support::{Answer, World};
 
 /// Arrivals that are allowed from then on.
@@ -486,7 +486,7 @@
     let adapter = format!("a{}", series.rng.random_range(0..12));
     series
         .world
-        .send_request(vm, draft(&format!("o{at}"), &adapter));
+        .send_request(vm, adapter_request(&format!("o{at}"), &adapter));
     let lookup = format!("q{}", at % 4);
     let lookup = call(&lookup, "/query/x", 2_000, None);
     series.world.send_request((vm + 1) % VMS, lookup);
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -6,7 +6,7 @@
 use dahliastile_gateway::feature::{DisabledFeatures, Feature};
 use dahliastile_gateway::settings::Tuning;
 use support::World;
-use support::setup::draft;
+use support::setup::adapter_request;
 
 #[test]
 fn name_isreadback() {
@@ -54,7 +54,9 @@
                 _ => {}
             }
             world.wake_watchers();
-            let call = |at: usize| draft(&format!("r{round}-{at}"), &format!("a{}", at * 5 % 12));
+            let call = |at: usize| {
+                adapter_request(&format!("r{round}-{at}"), &format!("a{}", at * 5 % 12))
+            };
             numbers.extend(world.send_requests(50, Span::from_millis(40), call));
         }
         world.run(Span::from_secs(6));
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
 use support::World;
-use support::setup::draft;
+use support::setup::adapter_request;
 
 /// The pause between two requests.
 const PAUSE: Span = Span::from_millis(40);
@@ -13,7 +13,7 @@
 /// Requests for one of eight adapters in turn, every 40 ms for the span; their numbers.
 fn traffic(world: &mut World, span: Span) -> Vec<u64> {
     let count = usize::try_from(span.0 / PAUSE.0).expect("small");
-    let call = |at| draft(&format!("r{at}"), &format!("a{}", at * 5 % 8));
+    let call = |at| adapter_request(&format!("r{at}"), &format!("a{}", at * 5 % 8));
     world.send_requests(count, PAUSE, call)
 }
 
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use support::World;
 use support::series::{FaultSeries, VMS, seeds};
-use support::setup::{draft, mixed};
+use support::setup::{adapter_request, mixed};
 use support::world::Arrival;
 
 /// How long after a VM was told requests may still come from it: they may have been on their way.
@@ -121,7 +121,7 @@
     world.send_heavy_load(Span::from_secs(4));
     // Adapters that no engine holds go where there is room.
     world.send_requests(100, Span::from_millis(20), |at| {
-        draft(&format!("n{at}"), &format!("b{}", at % 20))
+        adapter_request(&format!("n{at}"), &format!("b{}", at % 20))
     });
     for server in ["e3", "p0"] {
         let got = requests_since(&world, server, since);
@@ -249,7 +249,10 @@
     let before = world.messages_by_kind["place"];
     let mut asked = 0;
     for at in 0..150 {
-        world.send_request(knows, draft(&format!("d{at}"), &format!("a{}", at % 12)));
+        world.send_request(
+            knows,
+            adapter_request(&format!("d{at}"), &format!("a{}", at % 12)),
+        );
         world.run(Span::from_millis(20));
         asked += 1;
     }
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
 use support::World;
-use support::setup::{call, draft, work};
+use support::setup::{adapter_request, call, work};
 
 /// The pause between two requests.
 const PAUSE: Span = Span::from_millis(50);
@@ -14,7 +14,7 @@
 fn churn(world: &mut World, span: Span, prefix: &str) -> Vec<u64> {
     let count = usize::try_from(span.0 / PAUSE.0).expect("small");
     let call = |at| {
-        draft(
+        adapter_request(
             &format!("{prefix}{at}"),
             &format!("{prefix}{}", at * 7 % 60),
         )
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::World;
-use support::setup::{ENGINES, call, config, draft, name, work};
+use support::setup::{ENGINES, adapter_request, call, config, name, work};
 
 /// A fleet at engines that don't check fencing numbers.
 fn unfenced() -> World {
@@ -52,7 +52,10 @@
 fn cold_everywhere(world: &mut World, times: usize) {
     for at in 0..times * 4 {
         for vm in 0..world.vms.len() {
-            world.send_request(vm, draft(&format!("e{at}-{vm}"), &format!("e{at}-{vm}")));
+            world.send_request(
+                vm,
+                adapter_request(&format!("e{at}-{vm}"), &format!("e{at}-{vm}")),
+            );
         }
         world.run(Span::from_millis(25));
     }
@@ -180,7 +183,7 @@
     let old = world.holder();
     world.store_up = false;
     world.wake_watchers();
-    let cold = |at: usize| draft(&format!("c{at}"), &format!("cold{at}"));
+    let cold = |at: usize| adapter_request(&format!("c{at}"), &format!("cold{at}"));
     let numbers = world.send_requests(80, Span::from_millis(100), cold);
     world.store_up = true;
     world.run(Span::from_secs(5));
@@ -211,7 +214,9 @@
                 _ => {}
             }
             world.wake_watchers();
-            let cold = |at: usize| draft(&format!("c{step}-{at}"), &format!("a{}", step % 30 + at));
+            let cold = |at: usize| {
+                adapter_request(&format!("c{step}-{at}"), &format!("a{}", step % 30 + at))
+            };
             world.send_requests(2, Span::from_millis(100), cold);
         }
         one_at_a_time(&world);
--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -8,7 +8,7 @@
 
 use dahliastile_core::time::Span;
 use support::World;
-use support::setup::draft;
+use support::setup::adapter_request;
 
 /// The processor's time for an event, and for a run.
 const WORK: (Span, Span) = (Span::from_millis(1), Span::from_millis(8));
@@ -25,7 +25,7 @@
 /// Requests at a pace for some seconds, for two dozen adapters in turn.
 fn load(world: &mut World, count: usize, pause: Span) -> Vec<u64> {
     world.send_requests(count, pause, |at| {
-        draft(&format!("r{at}"), &format!("a{}", at * 7 % 24))
+        adapter_request(&format!("r{at}"), &format!("a{}", at * 7 % 24))
     })
 }
 
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -10,7 +10,7 @@
 use dahliastile_core::time::Span;
 use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use support::World;
-use support::setup::{ENGINES, draft, name};
+use support::setup::{ENGINES, adapter_request, name};
 
 /// The pause between two requests.
 const PAUSE: Span = Span::from_millis(40);
@@ -107,7 +107,7 @@
     world.run(Span::from_secs(1));
     world.restart_server("e0", 2);
     world.run(Span::from_millis(400));
-    let number = world.send_request(0, draft("r", "a9"));
+    let number = world.send_request(0, adapter_request("r", "a9"));
     world.run(Span::from_secs(2));
     assert!(world.time_to_first_chunk(number).is_some());
     world.check_invariants();
@@ -207,12 +207,12 @@
                 15_000,
                 Some(support::setup::work("a5", 600, 200)),
             ),
-            _ => draft(&format!("v{version}-{at}"), "a5"),
+            _ => adapter_request(&format!("v{version}-{at}"), "a5"),
         };
         numbers.extend(world.send_requests(7, PAUSE, call));
     }
     world.run(Span::from_secs(5));
-    let last = world.send_requests(10, PAUSE, |at| draft(&format!("z{at}"), "a5"));
+    let last = world.send_requests(10, PAUSE, |at| adapter_request(&format!("z{at}"), "a5"));
     world.run(Span::from_secs(9));
     let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 100 >= all * 95, "{good} of {all}");
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -70,7 +70,7 @@
     let strong: Vec<usize> = (0..STRONG).filter(|vm| *vm != old).collect();
     let ask = |world: &mut World, at: usize| {
         for vm in &strong {
-            let call = support::setup::draft(&format!("r{at}"), "a1");
+            let call = support::setup::adapter_request(&format!("r{at}"), "a1");
             world.send_request(*vm, call);
         }
         world.run(Span::from_millis(20));
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -139,7 +139,7 @@
 }
 
 /// A short draft by an adapter, as most tests ask for.
-pub fn draft(id: &str, adapter: &str) -> CallerRequest {
+pub fn adapter_request(id: &str, adapter: &str) -> CallerRequest {
     call(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
 }
 
@@ -147,7 +147,7 @@
 pub fn mixed(at: usize) -> CallerRequest {
     match at % 4 {
         0 => call(&format!("q{at}"), "/query/x", 2_000, None),
-        _ => draft(&format!("r{at}"), &format!("a{}", at * 7 % 60)),
+        _ => adapter_request(&format!("r{at}"), &format!("a{}", at * 7 % 60)),
     }
 }
 
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -506,7 +506,7 @@
     /// their numbers.
     pub fn send_light_load(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / QUIET_PAUSE.0).expect("small");
-        let call = |at| setup::draft(&format!("r{at}"), &format!("a{}", at * 5 % 12));
+        let call = |at| setup::adapter_request(&format!("r{at}"), &format!("a{}", at * 5 % 12));
         self.send_requests(count, QUIET_PAUSE, call)
     }
 
