--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use support::World;
 use support::series::{FaultSeries, VMS, seeds};
-use support::setup::{adapter_request, mixed};
+use support::setup::{adapter_request, mixed_request};
 use support::world::Arrival;
 
 /// How long after a VM was told requests may still come from it: they may have been on their way.
@@ -212,7 +212,7 @@
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.send_request(vm, mixed(asked));
+                    series.world.send_request(vm, mixed_request(asked));
                 }
             }
         }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -9,7 +9,7 @@
 use dahliastile_gateway::request::notice::Rate;
 use rand::Rng;
 use support::series::{FaultSeries, VMS, seeds};
-use support::setup::{call, mixed};
+use support::setup::{call, mixed_request};
 use support::{Answer, World};
 
 /// Guards against a fleet whose VMs don't read the limit that an engine names.
@@ -214,7 +214,7 @@
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.send_request(vm, mixed(asked));
+                    series.world.send_request(vm, mixed_request(asked));
                 }
             }
         }
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use support::World;
 use support::series::{FaultSeries, VMS, seeds};
-use support::setup::mixed;
+use support::setup::mixed_request;
 
 /// What the recorded engines asked for.
 const REST: Span = Span::from_secs(3);
@@ -193,7 +193,7 @@
                 asked += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.send_request(vm, mixed(asked));
+                    series.world.send_request(vm, mixed_request(asked));
                 }
             }
         }
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -144,7 +144,7 @@
 }
 
 /// One of many requests: three in four are drafts by sixty adapters in turn, the others for the plain service.
-pub fn mixed(at: usize) -> CallerRequest {
+pub fn mixed_request(at: usize) -> CallerRequest {
     match at % 4 {
         0 => call(&format!("q{at}"), "/query/x", 2_000, None),
         _ => adapter_request(&format!("r{at}"), &format!("a{}", at * 7 % 60)),
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -522,7 +522,7 @@
     /// plain service; their numbers.
     pub fn send_heavy_load(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / BUSY_PAUSE.0).expect("small");
-        self.send_requests(count, BUSY_PAUSE, setup::mixed)
+        self.send_requests(count, BUSY_PAUSE, setup::mixed_request)
     }
 
     /// How long each of these requests was held that was refused.
