--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -12,7 +12,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::World;
-use support::accounts::{COST, account, allowed, call, config, shares, tuning, worst_window};
+use support::accounts::{
+    TOKENS_PER_REQUEST, account, allowed, call, config, shares, tuning, worst_window,
+};
 use support::series::{FaultSeries, VMS, seeds};
 
 /// A small account's tokens a second.
@@ -107,7 +109,7 @@
         for at in 0..self.callers.len() {
             let callers = &self.callers[at];
             let tokens = usage(callers.rate) * callers.times * STEP.as_secs_f64();
-            let mut due = tokens / COST.as_f64();
+            let mut due = tokens / TOKENS_PER_REQUEST.as_f64();
             while due > 0.0 && self.rng.random_bool(due.min(1.0)) {
                 due -= 1.0;
                 let callers = &self.callers[at];
@@ -173,7 +175,7 @@
         let (served, _) = shares(&self.world, from, until)[&callers.name];
         let served = u32::try_from(served).expect("few");
         let rate = usage(callers.rate) * ROOM * until.since(from).as_secs_f64();
-        f64::from(served) * COST.as_f64() / rate
+        f64::from(served) * TOKENS_PER_REQUEST.as_f64() / rate
     }
 }
 
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -21,7 +21,7 @@
 /// The tokens by which it may besides.
 const SLACK: f64 = 17_000.0;
 /// What a request counts as: the mean of the deployment with accounts.
-pub const COST: Tokens = Tokens(2_400);
+pub const TOKENS_PER_REQUEST: Tokens = Tokens(2_400);
 
 /// The figures of the deployment with accounts.
 pub fn tuning() -> Tuning {
@@ -65,7 +65,7 @@
 pub fn call(id: &str, text: &str) -> CallerRequest {
     CallerRequest {
         key: Some(key(text)),
-        tokens: Some(COST),
+        tokens: Some(TOKENS_PER_REQUEST),
         ..setup::call(id, "/query/x", 1_500, None)
     }
 }
