--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use support::World;
 use support::accounts::{
-    TOKENS_PER_REQUEST, account, allowed, call, config, shares, tuning, worst_window,
+    TOKENS_PER_REQUEST, account, allowed_in_window, call, config, shares, tuning, worst_window,
 };
 use support::series::{FaultSeries, VMS, seeds};
 
@@ -125,7 +125,7 @@
     fn check(&self) {
         for callers in &self.callers {
             let worst = worst_window(&self.world, &callers.name);
-            let allowed = allowed(callers.rate);
+            let allowed = allowed_in_window(callers.rate);
             assert!(worst <= allowed, "{}: {worst} of {allowed}", callers.name);
         }
         self.world.check_invariants();
@@ -380,7 +380,7 @@
         }
         for callers in &load.callers {
             let worst = worst_window(&load.world, &callers.name);
-            let allowed = allowed(callers.rate);
+            let allowed = allowed_in_window(callers.rate);
             assert!(
                 worst <= allowed,
                 "seed {seed} {}: {worst} of {allowed}",
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -71,7 +71,7 @@
 }
 
 /// What a window may see of an account with a limit.
-pub fn allowed(rate: u64) -> f64 {
+pub fn allowed_in_window(rate: u64) -> f64 {
     let rate = TokenRate(rate).as_f64();
     (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVERAGE) + SLACK
 }
