--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -13,7 +13,8 @@
 use rand_chacha::ChaCha8Rng;
 use support::World;
 use support::accounts::{
-    TOKENS_PER_REQUEST, account, allowed_in_window, call, config, shares, tuning, worst_window,
+    TOKENS_PER_REQUEST, account, allowed_in_window, call, config, peak_window_tokens, shares,
+    tuning,
 };
 use support::series::{FaultSeries, VMS, seeds};
 
@@ -124,7 +125,7 @@
     /// That no window saw more of an account than it may.
     fn check(&self) {
         for callers in &self.callers {
-            let worst = worst_window(&self.world, &callers.name);
+            let worst = peak_window_tokens(&self.world, &callers.name);
             let allowed = allowed_in_window(callers.rate);
             assert!(worst <= allowed, "{}: {worst} of {allowed}", callers.name);
         }
@@ -379,7 +380,7 @@
             load.run(Span::from_millis(20));
         }
         for callers in &load.callers {
-            let worst = worst_window(&load.world, &callers.name);
+            let worst = peak_window_tokens(&load.world, &callers.name);
             let allowed = allowed_in_window(callers.rate);
             assert!(
                 worst <= allowed,
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -77,7 +77,7 @@
 }
 
 /// The most tokens of an account that ran in any window.
-pub fn worst_window(world: &World, account: &str) -> f64 {
+pub fn peak_window_tokens(world: &World, account: &str) -> f64 {
     let account: Tenant = name(account);
     let mut runs: Vec<(Instant, f64)> = Vec::new();
     for asked in world.requests.values() {
