--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -13,8 +13,8 @@
 use rand_chacha::ChaCha8Rng;
 use support::World;
 use support::accounts::{
-    TOKENS_PER_REQUEST, account, allowed_in_window, call, config, peak_window_tokens, shares,
-    tuning,
+    TOKENS_PER_REQUEST, account, allowed_in_window, call, config, peak_window_tokens,
+    served_and_sent, tuning,
 };
 use support::series::{FaultSeries, VMS, seeds};
 
@@ -134,7 +134,7 @@
 
     /// The part in a hundred that was refused, of the requests that accounts sent in a time: those that flood or the others.
     fn refused(&self, floods: bool, from: Instant, until: Instant) -> f64 {
-        let shares = shares(&self.world, from, until);
+        let shares = served_and_sent(&self.world, from, until);
         let (mut served, mut sent) = (0, 0);
         for callers in self.callers.iter().filter(|c| (c.times > 1.0) == floods) {
             let (some, all) = shares.get(&callers.name).copied().unwrap_or_default();
@@ -173,7 +173,7 @@
     /// What an account got in a time, as a part of its rate.
     fn got(&self, at: usize, from: Instant, until: Instant) -> f64 {
         let callers = &self.callers[at];
-        let (served, _) = shares(&self.world, from, until)[&callers.name];
+        let (served, _) = served_and_sent(&self.world, from, until)[&callers.name];
         let served = u32::try_from(served).expect("few");
         let rate = usage(callers.rate) * ROOM * until.since(from).as_secs_f64();
         f64::from(served) * TOKENS_PER_REQUEST.as_f64() / rate
@@ -354,7 +354,7 @@
     let mut load = Load::among(world, 70, 2);
     load.run(Span::from_secs(8));
     load.check();
-    let shares = shares(&load.world, Instant::default(), load.world.now);
+    let shares = served_and_sent(&load.world, Instant::default(), load.world.now);
     assert_eq!(shares["a0"].0, 0);
 }
 
@@ -409,7 +409,7 @@
     }
     load.world.run(Span::from_secs(1));
     load.check();
-    let all = shares(&load.world, Instant::default(), load.world.now);
+    let all = served_and_sent(&load.world, Instant::default(), load.world.now);
     assert_eq!(all["a0"], (2, 2));
     assert_eq!(load.messages(), before);
 }
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -101,7 +101,11 @@
 }
 
 /// How many of the requests of each key that were sent in a time were served, and how many were sent.
-pub fn shares(world: &World, from: Instant, until: Instant) -> BTreeMap<String, (usize, usize)> {
+pub fn served_and_sent(
+    world: &World,
+    from: Instant,
+    until: Instant,
+) -> BTreeMap<String, (usize, usize)> {
     let mut shares: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     let sent = world
         .requests
