--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -11,7 +11,7 @@
 use dahliastile_gateway::effect::RefusalReason;
 use dahliastile_gateway::event::CallerRequest;
 use quickcheck::{Gen, QuickCheck};
-use support::accounts::{account, call, config, key, tuning};
+use support::accounts::{account, config, key, request, tuning};
 use support::setup::{self, name};
 use support::{Answer, World};
 
@@ -54,7 +54,7 @@
         ("key-n2", "north"),
         ("key-s1", "south"),
     ] {
-        let number = world.send_request(0, call("r", text));
+        let number = world.send_request(0, request("r", text));
         world.run(Span::from_millis(500));
         let told = &world.requests[&number].accounts;
         assert_eq!(told, &vec![Some(name(account))], "{text}");
@@ -67,9 +67,9 @@
     let mut world = warm();
     let without = CallerRequest {
         key: None,
-        ..call("r", "any")
+        ..request("r", "any")
     };
-    for asked in [without, call("r", "key-x")] {
+    for asked in [without, request("r", "key-x")] {
         let answer = outcome(&mut world, 1, asked);
         assert_eq!(answer, Answer::Refused(RefusalReason::UnknownKey, None));
     }
@@ -86,7 +86,7 @@
     now.push(account("west", &["key-w1"], 0));
     world.configure(config(3, now));
     world.run(IN_FORCE);
-    let late = outcome(&mut world, 3, call("r", "key-w1"));
+    let late = outcome(&mut world, 3, request("r", "key-w1"));
     assert!(
         matches!(
             late,
@@ -94,9 +94,9 @@
         ),
         "{late:?}"
     );
-    assert!(served(&outcome(&mut world, 1, call("r", "key-w1"))));
+    assert!(served(&outcome(&mut world, 1, request("r", "key-w1"))));
     // What it knows it goes on with.
-    assert!(served(&outcome(&mut world, 3, call("r", "key-n1"))));
+    assert!(served(&outcome(&mut world, 3, request("r", "key-n1"))));
 }
 
 /// Public routes need no key.
@@ -111,7 +111,7 @@
         0,
         CallerRequest {
             key: None,
-            ..call("r", "any")
+            ..request("r", "any")
         },
     );
     world.run(Span::from_millis(500));
@@ -136,7 +136,7 @@
         0,
         CallerRequest {
             key: None,
-            ..call("r", "any")
+            ..request("r", "any")
         }
     )));
 }
@@ -154,13 +154,13 @@
     world.configure(config(3, moved));
     world.run(IN_FORCE);
     for vm in 0..6 {
-        let gone = outcome(&mut world, vm, call("r", "key-s1"));
+        let gone = outcome(&mut world, vm, request("r", "key-s1"));
         assert!(!served(&gone), "vm{vm}");
         assert!(
-            served(&outcome(&mut world, vm, call("r", "key-s2"))),
+            served(&outcome(&mut world, vm, request("r", "key-s2"))),
             "vm{vm}"
         );
-        let number = world.send_request(vm, call("r", "key-n2"));
+        let number = world.send_request(vm, request("r", "key-n2"));
         world.run(Span::from_millis(500));
         assert_eq!(
             world.requests[&number].accounts,
@@ -190,7 +190,7 @@
     world.run(IN_FORCE);
     for vm in 0..6 {
         assert!(
-            !served(&outcome(&mut world, vm, call("r", "key-s1"))),
+            !served(&outcome(&mut world, vm, request("r", "key-s1"))),
             "vm{vm}"
         );
     }
@@ -251,7 +251,7 @@
                 2 => world.kill(usize::from(*step) % 3, false),
                 3 => world.vms[usize::from(*step) % 3].store_reachable ^= true,
                 _ => {
-                    world.send_request(usize::from(*step) % 3, call("r", &secret));
+                    world.send_request(usize::from(*step) % 3, request("r", &secret));
                 }
             }
             world.run(Span::from_millis(300));
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -7,7 +7,7 @@
 use dahliastile_gateway::request::budget::RetryBudget;
 use dahliastile_gateway::settings::Tuning;
 use support::World;
-use support::setup::{call, name};
+use support::setup::{name, request};
 
 /// The VMs, and the requests of ten seconds to a service that fails all it runs: each VM gets few, so that its own part of
 /// the budget is a fraction of a send.
@@ -30,7 +30,7 @@
         let id: Server = name(id);
         world.servers.get_mut(&id).expect("a server").0.failing = true;
     }
-    let query = |at| call(&format!("q{at}"), "/query/x", 2_000, None);
+    let query = |at| request(&format!("q{at}"), "/query/x", 2_000, None);
     let numbers = world.send_requests(REQUESTS as usize, Span::from_millis(10), query);
     world.run(Span::from_secs(2));
     let tuning = Tuning::default();
--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -4,7 +4,7 @@
 
 use dahliastile_core::time::Span;
 use dahliastile_gateway::effect::RefusalReason;
-use support::setup::{call, work};
+use support::setup::{request, work};
 use support::{Answer, World};
 
 fn ready() -> World {
@@ -16,7 +16,7 @@
 #[test]
 fn plain_isserved() {
     let mut world = ready();
-    let number = world.send_request(0, call("a", "/query/x", 4_000, None));
+    let number = world.send_request(0, request("a", "/query/x", 4_000, None));
     world.run(Span::from_secs(1));
     assert!(matches!(world.answer(number), Some(Answer::Served(_))));
     world.check_invariants();
@@ -25,7 +25,10 @@
 #[test]
 fn draft_coldisloadedandserved() {
     let mut world = ready();
-    let number = world.send_request(1, call("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))));
+    let number = world.send_request(
+        1,
+        request("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))),
+    );
     world.run(Span::from_secs(2));
     let first = world.time_to_first_chunk(number).expect("served");
     assert!(first < Span::from_millis(500), "{first}");
@@ -38,7 +41,7 @@
     for at in 0..10 {
         world.send_request(
             at % 3,
-            call("a", "/plan/x", 5_000, Some(work("a1", 1_000, 20))),
+            request("a", "/plan/x", 5_000, Some(work("a1", 1_000, 20))),
         );
         world.run(Span::from_millis(600));
     }
@@ -50,7 +53,7 @@
 #[test]
 fn route_unknownisrefused() {
     let mut world = ready();
-    let number = world.send_request(0, call("a", "/none/x", 4_000, None));
+    let number = world.send_request(0, request("a", "/none/x", 4_000, None));
     world.run(Span::from_millis(1));
     assert_eq!(
         world.answer(number),
@@ -64,9 +67,9 @@
 fn config_unknownisrefusedwithtime() {
     let mut world = World::new(1, 1, 1);
     world.store_up = false;
-    let early = world.send_request(0, call("a", "/query/x", 4_000, None));
+    let early = world.send_request(0, request("a", "/query/x", 4_000, None));
     world.run(Span::from_millis(310));
-    let later = world.send_request(0, call("b", "/query/x", 4_000, None));
+    let later = world.send_request(0, request("b", "/query/x", 4_000, None));
     for number in [early, later] {
         assert!(matches!(
             world.answer(number),
@@ -83,7 +86,7 @@
         world.kill(vm, false);
     }
     world.run(Span::from_millis(401));
-    let call = |at| call(&format!("r{at}"), "/query/x", 4_000, None);
+    let call = |at| request(&format!("r{at}"), "/query/x", 4_000, None);
     let numbers = world.send_requests(120, Span::ZERO, call);
     assert_eq!(numbers.len(), 120);
     world.run(Span::from_secs(3));
@@ -95,7 +98,7 @@
 #[test]
 fn start_sendsnothingforacallerthatleft() {
     let mut world = World::new(1, 1, 1);
-    let number = world.send_request(0, call("a", "/query/x", 4_000, None));
+    let number = world.send_request(0, request("a", "/query/x", 4_000, None));
     world.disconnect_caller(number);
     world.run(Span::from_secs(2));
     assert_eq!(world.requests[&number].arrivals, 0);
@@ -109,7 +112,7 @@
         let adapter = format!("a{}", at * 7 % 61);
         world.send_request(
             at as usize % 3,
-            call("a", "/plan/x", 5_000, Some(work(&adapter, 800, 20))),
+            request("a", "/plan/x", 5_000, Some(work(&adapter, 800, 20))),
         );
         world.run(Span::from_millis(60));
     }
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -155,7 +155,7 @@
             );
             let stable = series.world.now >= series.last_store_fault + RECOVERY_TIME;
             if stable && series.is_fault_free(vm, series.world.now) && written.len() > 1 {
-                let call = accounts::call("r", &key(number));
+                let call = accounts::request("r", &key(number));
                 asked.push((series.world.send_request(vm, call), vm, number));
             }
         }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -18,7 +18,7 @@
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use rand::Rng;
 use support::series::{FaultSeries, RECOVERY_TIME, VMS, seeds};
-use support::setup::{adapter_request, call, work};
+use support::setup::{adapter_request, request, work};
 use support::{Answer, World};
 
 /// Arrivals that are allowed from then on.
@@ -36,7 +36,7 @@
     world.crashing.fingerprints.insert(fingerprint);
     CallerRequest {
         fingerprint,
-        ..call(&format!("c{at}"), path, 5_000, work)
+        ..request(&format!("c{at}"), path, 5_000, work)
     }
 }
 
@@ -77,11 +77,11 @@
             asked.ended,
             Some((_, Answer::Refused(RefusalReason::Quarantined, _)))
         );
-        let fingerprint = asked.call.fingerprint;
+        let fingerprint = asked.request.fingerprint;
         assert!(
             !refused || guilty.contains(&fingerprint),
             "{} refused",
-            asked.call.id
+            asked.request.id
         );
     }
     world.check_invariants();
@@ -90,7 +90,7 @@
 /// One of so many requests for a long answer, which come again and again; it may go on at another server.
 fn long(at: usize, kinds: usize, adapters: usize) -> CallerRequest {
     let (id, adapter) = (format!("l{}", at % kinds), format!("a{}", at % adapters));
-    call(&id, "/berth/x", 8_000, Some(work(&adapter, 600, 400)))
+    request(&id, "/berth/x", 8_000, Some(work(&adapter, 600, 400)))
 }
 
 /// How often a line was written.
@@ -305,7 +305,7 @@
     let mut numbers = Vec::new();
     for at in 0..20 {
         for _ in 0..10 {
-            let lookup = |at: usize| call(&format!("q{}", at % 4), "/query/x", 2_000, None);
+            let lookup = |at: usize| request(&format!("q{}", at % 4), "/query/x", 2_000, None);
             numbers.extend(world.send_requests(4, Span::from_millis(25), lookup));
         }
         if let Some(server) = world.up(false).get(at % 2) {
@@ -340,7 +340,7 @@
     let mut world = warm();
     let long = |at: usize| {
         let id = format!("l{}", at % 6);
-        call(&id, "/berth/x", 8_000, Some(work("a1", 600, 400)))
+        request(&id, "/berth/x", 8_000, Some(work("a1", 600, 400)))
     };
     for engine in 0..6 {
         world.send_requests(12, Span::from_millis(40), long);
@@ -371,7 +371,7 @@
         let work = work("a3", 600, 15);
         let ask = |at: usize| CallerRequest {
             fingerprint,
-            ..call(&format!("m{at}"), "/plan/crash", 5_000, Some(work.clone()))
+            ..request(&format!("m{at}"), "/plan/crash", 5_000, Some(work.clone()))
         };
         let numbers = world.send_requests(10, REPEATED, ask);
         world.run(Span::from_secs(5));
@@ -488,7 +488,7 @@
         .world
         .send_request(vm, adapter_request(&format!("o{at}"), &adapter));
     let lookup = format!("q{}", at % 4);
-    let lookup = call(&lookup, "/query/x", 2_000, None);
+    let lookup = request(&lookup, "/query/x", 2_000, None);
     series.world.send_request((vm + 1) % VMS, lookup);
     let ends = series.rng.random_bool(0.01);
     let busiest = series.world.busiest().first().cloned();
@@ -504,7 +504,7 @@
     let mut world = warm();
     let id = "often";
     let path = "/berth/x";
-    let long = |_| call(id, path, 8_000, Some(work("a1", 600, 200)));
+    let long = |_| request(id, path, 8_000, Some(work("a1", 600, 200)));
     for _ in 0..2 {
         world.send_requests(1, Span::from_millis(600), long);
         for server in world.busiest() {
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -123,7 +123,7 @@
     world.store_up = true;
     world.run(Span::from_millis(900));
     let asked: Vec<u64> = (0..12)
-        .map(|vm| world.send_request(vm, support::setup::call("q", "/query/x", 2_000, None)))
+        .map(|vm| world.send_request(vm, support::setup::request("q", "/query/x", 2_000, None)))
         .collect();
     world.run(Span::from_millis(300));
     for number in asked {
@@ -290,7 +290,7 @@
 fn all_serve(world: &mut World) -> bool {
     let vms = 0..world.vms.len();
     let asked: Vec<u64> = vms
-        .map(|vm| world.send_request(vm, support::setup::call("q", "/query/x", 2_000, None)))
+        .map(|vm| world.send_request(vm, support::setup::request("q", "/query/x", 2_000, None)))
         .collect();
     world.run(Span::from_millis(400));
     world.count_served(&asked) == asked.len()
--- a/crates/gateway/tests/health.rs
+++ b/crates/gateway/tests/health.rs
@@ -84,7 +84,7 @@
     let mut world = World::new(1, 0, 1);
     world.run(Span::from_secs(2));
     fail(&mut world, &["p0"], true);
-    let post = |id: &str| support::setup::call(id, "/post/x", 2_000, None);
+    let post = |id: &str| support::setup::request(id, "/post/x", 2_000, None);
     world.send_request(0, post("first"));
     world.run(Span::from_millis(30));
     world.send_request(0, post("second"));
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -9,7 +9,7 @@
 use dahliastile_gateway::cluster::snapshot::EntryKey;
 use dahliastile_gateway::settings::Tuning;
 use support::World;
-use support::setup::{ENGINES, call, name, work};
+use support::setup::{ENGINES, name, request, work};
 
 fn warm() -> World {
     let mut world = World::new(4, 4, 1);
@@ -47,7 +47,7 @@
     let vm = (old + 1) % 4;
     let cold = world.send_request(
         vm,
-        call("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
+        request("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(8));
     let first = world.time_to_first_chunk(cold).expect("served");
@@ -67,7 +67,7 @@
     let vm = (old + 1) % 4;
     let cold = world.send_request(
         vm,
-        call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(2));
     assert!(world.time_to_first_chunk(cold).expect("served") < Span::from_millis(700));
@@ -112,7 +112,7 @@
     let numbers = world.send_light_load(Span::from_secs(8));
     let cold = world.send_request(
         0,
-        call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(2));
     assert!(world.time_to_first_chunk(cold).is_some());
@@ -134,7 +134,7 @@
         let old = world.holder().expect("a holder");
         let vm = (old + 1) % 4;
         let ask = |world: &mut World, id: &str| {
-            let call = call(id, "/plan/x", 5_000, Some(work("a77", 600, 15)));
+            let call = request(id, "/plan/x", 5_000, Some(work("a77", 600, 15)));
             world.send_request(vm, call)
         };
         world.run(Span::from_millis(offset));
@@ -172,7 +172,7 @@
     let numbers = world.send_light_load(Span::from_secs(5));
     let cold = world.send_request(
         vm,
-        call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(5));
     let mine: Vec<u64> = numbers
@@ -212,7 +212,7 @@
     world.run(Span::from_millis(900));
     let cold = world.send_request(
         1,
-        call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(4));
     let first = world.time_to_first_chunk(cold).expect("served");
@@ -230,7 +230,7 @@
     let vm = (old + 1) % 4;
     let cold = world.send_request(
         vm,
-        call("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
+        request("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(8));
     let first = world.time_to_first_chunk(cold).expect("served");
@@ -253,7 +253,7 @@
         world.run(Span::from_millis(6));
         let cold = world.send_request(
             1 - late,
-            call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+            request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
         );
         world.run(Span::from_secs(4));
         let first = world.time_to_first_chunk(cold).expect("served");
@@ -334,7 +334,10 @@
     let vm = (world.holder().expect("a holder") + 1) % 4;
     for at in 0..6 {
         let long = work(&format!("a{at}"), 600, 4_000);
-        world.send_request(vm, call(&format!("l{at}"), "/brief/x", 15_000, Some(long)));
+        world.send_request(
+            vm,
+            request(&format!("l{at}"), "/brief/x", 15_000, Some(long)),
+        );
     }
     world.run(Span::from_millis(300));
     world.kill(vm, false);
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -9,7 +9,7 @@
 use dahliastile_gateway::request::notice::Rate;
 use rand::Rng;
 use support::series::{FaultSeries, VMS, seeds};
-use support::setup::{call, mixed_request};
+use support::setup::{mixed_request, request};
 use support::{Answer, World};
 
 /// Guards against a fleet whose VMs don't read the limit that an engine names.
@@ -108,7 +108,7 @@
     let before = world.total_served();
     let since = world.now;
     let asked = world.send_requests(200, Span::from_millis(40), |at| {
-        call(&format!("s{at}"), "/query/x", 2_000, None)
+        request(&format!("s{at}"), "/query/x", 2_000, None)
     });
     world.run(Span::from_secs(3));
     world.check_limits();
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::time::Span;
 use dahliastile_gateway::event::CallerRequest;
 use support::World;
-use support::setup::{call, work};
+use support::setup::{request, work};
 
 fn loads(world: &World) -> u32 {
     world.servers.values().map(|(engine, _)| engine.loads).sum()
@@ -14,7 +14,7 @@
 /// A request for the busiest adapter: 2,400 tokens.
 fn busy(at: usize) -> CallerRequest {
     let work = work("a1", 2_400, 20);
-    call(&format!("r{at}"), "/plan/x", 5_000, Some(work))
+    request(&format!("r{at}"), "/plan/x", 5_000, Some(work))
 }
 
 /// How many of those that were refused were held for long first.
@@ -55,7 +55,7 @@
     world.run(Span::from_secs(2));
     let rare = |at| {
         let work = work(&format!("a{at}"), 800, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(320, Span::from_millis(15), rare);
     world.run(Span::from_secs(16));
@@ -104,7 +104,7 @@
     world.run(Span::from_secs(2));
     let rare = |at| {
         let work = work(&format!("a{}", at * 5 % 48), 800, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(600, Span::from_millis(40), rare);
     world.run(Span::from_secs(16));
@@ -142,7 +142,7 @@
     world.run(Span::from_secs(2));
     let rare = |at| {
         let work = work(&format!("a{at}"), 3_000, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(16, Span::ZERO, rare);
     world.run(Span::from_secs(5));
@@ -166,7 +166,7 @@
     // 6,000 tokens take 300 ms, so that four engines read 13.3 a second; twelve are asked for.
     let long = |at| {
         let work = work(&format!("a{at}"), 6_000, 100);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(120, Span::from_millis(82), long);
     world.run(Span::from_secs(16));
@@ -185,7 +185,7 @@
     world.run(Span::from_secs(2));
     let adapter = |at| {
         let work = work(&format!("a{}", at % 4), 2_400, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     for _ in 0..12 {
         world.send_requests(8, Span::ZERO, adapter);
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
 use support::World;
-use support::setup::{adapter_request, call, work};
+use support::setup::{adapter_request, request, work};
 
 /// The pause between two requests.
 const PAUSE: Span = Span::from_millis(50);
@@ -115,7 +115,8 @@
 fn version_newerisusedinfiveseconds() {
     let mut world = ready();
     let warm = |world: &mut World, id: &str| {
-        let number = world.send_request(0, call(id, "/plan/x", 5_000, Some(work("a1", 600, 15))));
+        let number =
+            world.send_request(0, request(id, "/plan/x", 5_000, Some(work("a1", 600, 15))));
         world.run(Span::from_millis(800));
         number
     };
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::World;
-use support::setup::{ENGINES, adapter_request, call, config, name, work};
+use support::setup::{ENGINES, adapter_request, config, name, request, work};
 
 /// A fleet at engines that don't check fencing numbers.
 fn unfenced() -> World {
@@ -90,7 +90,10 @@
     for at in 0..400_u32 {
         if at % 4 == 0 {
             let draft = work(&format!("c{at}"), 600, 15);
-            world.send_request(old, call(&format!("c{at}"), "/plan/x", 5_000, Some(draft)));
+            world.send_request(
+                old,
+                request(&format!("c{at}"), "/plan/x", 5_000, Some(draft)),
+            );
         }
         world.run(Span::from_millis(10));
         if gone.is_none() && world.holder() != Some(old) {
@@ -131,7 +134,7 @@
         world.run(Span::from_millis(1_000));
         let cold = world.send_request(
             0,
-            call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+            request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
         );
         world.run(Span::from_secs(4));
         let first = world.time_to_first_chunk(cold).expect("served");
@@ -351,7 +354,7 @@
     world.run(Span::from_millis(410));
     let cold = world.send_request(
         (old + 1) % 4,
-        call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(4));
     let first = world.time_to_first_chunk(cold).expect("served");
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use support::World;
 use support::accounts::{
-    TOKENS_PER_REQUEST, account, allowed_in_window, call, config, peak_window_tokens,
+    TOKENS_PER_REQUEST, account, allowed_in_window, config, peak_window_tokens, request,
     served_and_sent, tuning,
 };
 use support::series::{FaultSeries, VMS, seeds};
@@ -117,7 +117,7 @@
                 let vm = callers.vms[self.rng.random_range(0..callers.vms.len())];
                 self.sent += 1;
                 let id = format!("{}-{}", callers.name, self.sent);
-                self.world.send_request(vm, call(&id, &callers.name));
+                self.world.send_request(vm, request(&id, &callers.name));
             }
         }
     }
@@ -320,7 +320,7 @@
             assert!(
                 at.since(asked.at) < Span::from_millis(400),
                 "{}",
-                asked.call.id
+                asked.request.id
             );
             returns.push((*at + *after).0 / 100_000);
         }
@@ -399,13 +399,14 @@
     for vm in 0..2 {
         let number = load
             .world
-            .send_request(vm, call(&format!("left-{vm}"), "a0"));
+            .send_request(vm, request(&format!("left-{vm}"), "a0"));
         load.world.disconnect_caller(number);
         load.world.run(Span::from_millis(20));
     }
     let before = load.messages();
     for vm in 0..2 {
-        load.world.send_request(vm, call(&format!("a0-{vm}"), "a0"));
+        load.world
+            .send_request(vm, request(&format!("a0-{vm}"), "a0"));
     }
     load.world.run(Span::from_secs(1));
     load.check();
@@ -422,7 +423,7 @@
     let ask = |load: &mut Load, times: usize| {
         for at in 0..times {
             load.world
-                .send_request(at % 6, call(&format!("a10-{at}"), "a10"));
+                .send_request(at % 6, request(&format!("a10-{at}"), "a10"));
         }
         load.world.run(Span::from_millis(20));
     };
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -96,7 +96,7 @@
     let mut world = World::new(1, 1, 1);
     world.run(Span::from_secs(2));
     let long = |at: usize| {
-        support::setup::call(
+        support::setup::request(
             &format!("l{at}"),
             "/brief/x",
             15_000,
@@ -164,7 +164,7 @@
         EntryValue::Server(Arc::new(nowhere)),
     );
     world.run(Span::from_millis(200));
-    let post = |at| support::setup::call(&format!("p{at}"), "/post/x", 2_000, None);
+    let post = |at| support::setup::request(&format!("p{at}"), "/post/x", 2_000, None);
     let numbers = world.send_requests(40, PAUSE, post);
     world.run(Span::from_secs(3));
     assert_eq!(world.count_served(&numbers), 40);
@@ -201,7 +201,7 @@
     for version in 2..22 {
         world.publish_version("a5", version);
         let call = |at: usize| match at {
-            0 => support::setup::call(
+            0 => support::setup::request(
                 &format!("l{version}"),
                 "/brief/x",
                 15_000,
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -62,11 +62,11 @@
 }
 
 /// A request to the plain service that bears a key.
-pub fn call(id: &str, text: &str) -> CallerRequest {
+pub fn request(id: &str, text: &str) -> CallerRequest {
     CallerRequest {
         key: Some(key(text)),
         tokens: Some(TOKENS_PER_REQUEST),
-        ..setup::call(id, "/query/x", 1_500, None)
+        ..setup::request(id, "/query/x", 1_500, None)
     }
 }
 
@@ -83,7 +83,7 @@
     for asked in world.requests.values() {
         for ((at, _), named) in asked.runs.iter().zip(&asked.accounts) {
             if named.as_ref() == Some(&account) {
-                runs.push((*at, asked.call.tokens.unwrap_or(Tokens(200)).as_f64()));
+                runs.push((*at, asked.request.tokens.unwrap_or(Tokens(200)).as_f64()));
             }
         }
     }
@@ -113,7 +113,7 @@
         .filter(|a| a.at >= from && a.at < until);
     for asked in sent {
         let who = asked
-            .call
+            .request
             .id
             .split('-')
             .next()
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -140,19 +140,19 @@
 
 /// A short draft by an adapter, as most tests ask for.
 pub fn adapter_request(id: &str, adapter: &str) -> CallerRequest {
-    call(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
+    request(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
 }
 
 /// One of many requests: three in four are drafts by sixty adapters in turn, the others for the plain service.
 pub fn mixed_request(at: usize) -> CallerRequest {
     match at % 4 {
-        0 => call(&format!("q{at}"), "/query/x", 2_000, None),
+        0 => request(&format!("q{at}"), "/query/x", 2_000, None),
         _ => adapter_request(&format!("r{at}"), &format!("a{}", at * 7 % 60)),
     }
 }
 
 /// A request.
-pub fn call(id: &str, path: &str, patience: u64, work: Option<InferenceSpec>) -> CallerRequest {
+pub fn request(id: &str, path: &str, patience: u64, work: Option<InferenceSpec>) -> CallerRequest {
     CallerRequest {
         id: id.into(),
         host: "host.example".to_owned(),
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// What it asked.
-    pub call: CallerRequest,
+    pub request: CallerRequest,
     /// The VM.
     pub vm: usize,
     /// When.
@@ -465,7 +465,7 @@
         self.requests.insert(
             number,
             RequestRecord {
-                call: call.clone(),
+                request: call.clone(),
                 vm,
                 at: self.now,
                 ended: None,
@@ -605,8 +605,8 @@
     /// All that must always hold, over what the fakes recorded.
     pub fn check_invariants(&self) {
         for (number, asked) in &self.requests {
-            let idempotent =
-                asked.call.path.starts_with("/query/") || asked.call.path.starts_with("/berth/");
+            let idempotent = asked.request.path.starts_with("/query/")
+                || asked.request.path.starts_with("/berth/");
             assert!(
                 idempotent || asked.runs.len() <= 1,
                 "request {number} ran {} times",
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -216,7 +216,7 @@
             return;
         };
         asked.arrivals += 1;
-        let call = asked.call.clone();
+        let call = asked.request.clone();
         let failed = |ran, cause| Event::AttemptFailed(number, ran, cause);
         let Some((engine, _)) = self.servers.get_mut(&send.server).filter(|(e, _)| e.up) else {
             self.at(
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -112,7 +112,7 @@
             return;
         };
         if let Some(asked) = self.requests.get_mut(&number) {
-            let resumable = asked.call.path.starts_with("/berth/");
+            let resumable = asked.request.path.starts_with("/berth/");
             if matches!(asked.ended, Some((_, Answer::Served(_)))) {
                 asked.ended = (!resumable).then_some((self.now, Answer::Cut));
             }
