--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -128,7 +128,7 @@
         match self.watch.leader {
             Some(_) => self.keep_following(out),
             None if self.watch.op.is_none() && self.now >= self.watch.next => {
-                self.continue_watching(out)
+                self.continue_watching(out);
             }
             None => {}
         }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -274,10 +274,10 @@
             Event::CallerLeft(request) => self.handle_caller_left(request, out),
             Event::AnswerStarted(request) => self.handle_answer_started(request, out),
             Event::AnswerCompleted(request, pause) => {
-                self.handle_answer_completed(request, pause, out)
+                self.handle_answer_completed(request, pause, out);
             }
             Event::AttemptFailed(request, ran, cause) => {
-                self.handle_attempt_failed(request, ran, cause, out)
+                self.handle_attempt_failed(request, ran, cause, out);
             }
             Event::OrderAnswered(order, outcome) => self.handle_order_outcome(order, outcome, out),
             Event::NoticeReceived(server, notice) => self.handle_notice(&server, notice, out),
@@ -320,7 +320,7 @@
             }
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
             Message::PlacementRequest(service, want) => {
-                self.handle_placement_request(&service, from, want)
+                self.handle_placement_request(&service, from, want);
             }
             Message::Progress(service, request, progress) => {
                 self.handle_progress(&service, from, request, progress);
@@ -364,10 +364,10 @@
                 self.mark_leaving(from, &server, start, out);
             }
             Message::ServerCooldown(server, span) => {
-                self.handle_server_cooldown(from, &server, span)
+                self.handle_server_cooldown(from, &server, span);
             }
             Message::SendPermitRequest(request, server) => {
-                self.handle_permit_request(from, request, server, out)
+                self.handle_permit_request(from, request, server, out);
             }
             Message::SendPermitReply(request, server, answer) => {
                 self.handle_permit_reply(request, &server, answer, out);
@@ -375,10 +375,10 @@
             Message::TokenRequest(draw) => self.drawn(from, draw, out),
             Message::TokenGrant(grant) => self.granted(&grant, out),
             Message::CollectTokens(number, accounts) => {
-                self.collected(from, number, &accounts, out)
+                self.collected(from, number, &accounts, out);
             }
             Message::SurplusTokens(number, deposits) => {
-                self.deposited(from, number, &deposits, out)
+                self.deposited(from, number, &deposits, out);
             }
             Message::RelayedResidentAdapters(service, fence, residents) => {
                 let holder = self
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -196,7 +196,7 @@
         for (fingerprint, standing) in told {
             match standing {
                 QuarantineStatus::Watched => {
-                    self.quarantine.watched.insert(self.now, fingerprint, ())
+                    self.quarantine.watched.insert(self.now, fingerprint, ());
                 }
                 QuarantineStatus::Quarantined(left) => {
                     self.put_in_quarantine(fingerprint, left, "peer", out);
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -66,7 +66,7 @@
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         match client.holder.clone() {
             Some(holder) if !client.silent => {
-                self.send(&holder, Message::PlacementRequest(service, want), out)
+                self.send(&holder, Message::PlacementRequest(service, want), out);
             }
             _ => self.place_alone(request, out),
         }
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -247,7 +247,7 @@
             }
             FailureCause::Missing | FailureCause::Full | FailureCause::Declined => {}
             FailureCause::Unreachable | FailureCause::Broken => {
-                engine.health.record_connection_failure(now)
+                engine.health.record_connection_failure(now);
             }
             FailureCause::Malformed | FailureCause::Status(_) => engine.health.record_failure(now),
         }
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -77,7 +77,7 @@
                 self.broadcast_residents(service, fence, residents, out);
             }
             Decision::Heartbeat => {
-                self.broadcast(&Message::SchedulerHeartbeat(service.clone(), fence), out)
+                self.broadcast(&Message::SchedulerHeartbeat(service.clone(), fence), out);
             }
             Decision::Log(record) => out.push(Effect::Log(record)),
         }
--- a/crates/shell/src/driver.rs
+++ b/crates/shell/src/driver.rs
@@ -126,7 +126,7 @@
         match effect {
             Effect::Request(id, verdict) => self.hub.tell(id, verdict),
             Effect::SendMessage(address, reach, message) => {
-                self.peers.send(address, reach, message)
+                self.peers.send(address, reach, message);
             }
             Effect::Log(record) => self.journal.write(now, &record),
             Effect::Measure(sample) => self.figures.take(sample),
