--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -2,7 +2,7 @@
 //! hears from them and tells its zone.
 //!
 //! Both follow from what each VM knows of the others, so that none is appointed: the strongest watch, and the strongest of a zone
-//! tells it, among equals by hashing. A VM that fails to is passed by (`follow`).
+//! tells it, among equals by hashing. A VM that fails to is passed by (`watch`).
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,6 +1,6 @@
 //! A caller's request on this VM, and what is known of the servers that it may go to.
 //!
-//! * `flow`: its life, from arrival to its one final answer.
+//! * `state`: its life, from arrival to its one final answer.
 //! * [`budget`]: second sends over all VMs.
 //! * `load_balancer`: which server one of a plain service goes to; [`health`]: what answers say of a server's health; [`notice`]: what
 //!   servers say of themselves.
