--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -15,11 +15,11 @@
 
 use dahliastile_core::id::{Incarnation, Server, Vm};
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Backend, Base};
-use dahliastile_gateway::config::{Application, Engine, Model};
-use dahliastile_gateway::event::{Ordered, Report, RequestId, Work};
-use dahliastile_gateway::feature::Without;
-use dahliastile_gateway::message::{Progress, Want};
+use dahliastile_gateway::cluster::snapshot::{Backend, ResidentModel};
+use dahliastile_gateway::config::{EngineSpec, Model, ServiceConfig};
+use dahliastile_gateway::event::{InferenceSpec, OrderOutcome, Report, RequestId};
+use dahliastile_gateway::feature::DisabledFeatures;
+use dahliastile_gateway::message::{PlacementRequest, Progress};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
 use dahliastile_gateway::settings::{Settings, Tuning};
 use rand::{Rng, SeedableRng};
@@ -46,7 +46,7 @@
 enum Next {
     Begun(Vm, RequestId),
     Over(Vm, RequestId),
-    Ordered(u64),
+    OrderOutcome(u64),
     Reported(Server),
 }
 
@@ -84,14 +84,14 @@
         seed: 1,
         seeds: Vec::new(),
         tuning: Tuning::default(),
-        without: Without::default(),
+        without: DisabledFeatures::default(),
     }
 }
 
-fn application() -> Application {
-    Application {
+fn application() -> ServiceConfig {
+    ServiceConfig {
         name: "drafts".parse().unwrap(),
-        engine: Some(Engine {
+        engine: Some(EngineSpec {
             batch: 64,
             tokens: 120_000,
             memory_mb: 66_000.0,
@@ -111,7 +111,7 @@
     fn new(engines: usize, rate: f64) -> Self {
         let now = Instant::default() + Span::from_secs(100);
         let mut scheduler = Scheduler::new(now, &application(), 1, settings());
-        scheduler.audience(VMS);
+        scheduler.set_vm_count(VMS);
         let mut fleet = Self {
             now,
             rng: ChaCha8Rng::seed_from_u64(1),
@@ -138,7 +138,7 @@
                 bases: vec!["base".into()],
                 start: None,
             };
-            fleet.scheduler.server(&server, &Arc::new(backend));
+            fleet.scheduler.update_server(&server, &Arc::new(backend));
         }
         fleet
     }
@@ -156,7 +156,7 @@
             self.now += Span::from_millis(1);
             self.arrive(&mut cost);
             self.happen(&mut cost);
-            let due = self.scheduler.wake() <= self.now;
+            let due = self.scheduler.next_run() <= self.now;
             let mut out = Vec::new();
             let wall = Wall::now();
             self.scheduler.run(self.now, &mut out);
@@ -176,15 +176,15 @@
             self.last += 1;
             let adapter = self.adapters.sample(&mut self.rng) as u64;
             let vm = self.vms[self.rng.random_range(0..VMS)].clone();
-            let want = Want {
+            let want = PlacementRequest {
                 request: self.last,
                 id: format!("{:016x}", self.last).into(),
-                work: Work {
+                work: InferenceSpec {
                     model: "base".into(),
                     adapter: Some(format!("a{adapter}").into()),
-                    prompt: PROMPT,
-                    output: 80,
-                    parts: Arc::default(),
+                    prompt_tokens: PROMPT,
+                    max_output_tokens: 80,
+                    prompt_parts: Arc::default(),
                 },
                 waited: Span::from_millis(1),
                 objective: Span::from_millis(1_000),
@@ -194,7 +194,7 @@
                 failed: Vec::new(),
             };
             let wall = Wall::now();
-            self.scheduler.want(self.now, &vm, want);
+            self.scheduler.enqueue(self.now, &vm, want);
             cost.events += wall.elapsed().as_nanos() as u64;
             cost.requests += 1;
         }
@@ -211,28 +211,30 @@
             match next {
                 Some(Next::Begun(vm, request)) => {
                     self.scheduler
-                        .progress(self.now, &vm, request, Progress::Begun);
+                        .update_progress(self.now, &vm, request, Progress::AnswerStarted);
                 }
                 Some(Next::Over(vm, request)) => {
                     self.scheduler
-                        .progress(self.now, &vm, request, Progress::Over);
+                        .update_progress(self.now, &vm, request, Progress::Finished);
                 }
-                Some(Next::Ordered(order)) => {
-                    self.scheduler.ordered(self.now, order, Ordered::Accepted);
+                Some(Next::OrderOutcome(order)) => {
+                    self.scheduler
+                        .handle_order_outcome(self.now, order, OrderOutcome::Accepted);
                 }
                 Some(Next::Reported(server)) => {
                     let report = Report {
-                        models: vec![Base {
+                        models: vec![ResidentModel {
                             model: "base".into(),
                             version: 1,
                             adapters: Vec::new(),
                         }],
-                        coming: Vec::new(),
+                        loading: Vec::new(),
                         busy: false,
                         orders: 0,
                         start: None,
                     };
-                    self.scheduler.reported(self.now, &server, Some(&report));
+                    self.scheduler
+                        .handle_report(self.now, &server, Some(&report));
                 }
                 None => {}
             }
@@ -248,8 +250,8 @@
                 self.later(FIRST + ANSWER, Next::Over(vm, request));
             }
             Decision::Refuse(..) => cost.refused += 1,
-            Decision::Order(id, ..) => self.later(Span::from_millis(3), Next::Ordered(id)),
-            Decision::Report(server, _) => {
+            Decision::Order(id, ..) => self.later(Span::from_millis(3), Next::OrderOutcome(id)),
+            Decision::QueryReport(server, _) => {
                 self.later(Span::from_millis(3), Next::Reported(server));
             }
             _ => {}
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -14,12 +14,12 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use self::key::Key;
+use self::key::AccountKey;
 use crate::config::{Config, Route};
-use crate::effect::{Effects, Reason};
-use crate::event::{Call, RequestId};
+use crate::effect::{Effects, RefusalReason};
+use crate::event::{CallerRequest, RequestId};
 use crate::node::Gateway;
-use crate::request::flow::refusal;
+use crate::request::state::refusal;
 
 /// How old the newest word of the key-value service may be for a key that is not in the configuration to count as unknown. A VM
 /// that is well hears within 1.4 s; one that heard longer ago may lack the version that holds the key.
@@ -63,7 +63,7 @@
     /// A number of tokens, or of requests where an account counts those.
     Tokens;
     /// Tokens a second.
-    Rate;
+    TokenRate;
 }
 
 /// What a request counts as.
@@ -77,9 +77,9 @@
 
 /// How much an account may use over all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limit {
+pub struct TokenLimit {
     /// Without end.
-    pub rate: Rate,
+    pub rate: TokenRate,
     /// Besides, at once.
     pub burst: Tokens,
 }
@@ -90,13 +90,13 @@
     /// Its name.
     pub name: Tenant,
     /// The keys that its callers bear.
-    pub keys: Vec<Key>,
+    pub keys: Vec<AccountKey>,
     /// The rank of its requests, 0 first; none where that of the route counts.
     pub priority: Option<u8>,
     /// What its requests count as.
     pub unit: Unit,
     /// How much it may use; none for any amount.
-    pub limit: Option<Limit>,
+    pub limit: Option<TokenLimit>,
 }
 
 impl Account {
@@ -116,7 +116,7 @@
     /// Whether requests need a key at all.
     required: bool,
     /// The accounts by key.
-    by_key: FxHashMap<Key, Arc<Account>>,
+    by_key: FxHashMap<AccountKey, Arc<Account>>,
 }
 
 impl Table {
@@ -133,7 +133,7 @@
 
     /// The account that holds a key.
     #[must_use]
-    pub fn find(&self, key: &Key) -> Option<&Arc<Account>> {
+    pub fn find(&self, key: &AccountKey) -> Option<&Arc<Account>> {
         self.by_key.get(key)
     }
 }
@@ -143,15 +143,15 @@
     pub(crate) fn identify(
         &self,
         route: &Route,
-        call: &Call,
-    ) -> Result<Option<Arc<Account>>, Reason> {
+        call: &CallerRequest,
+    ) -> Result<Option<Arc<Account>>, RefusalReason> {
         let accounts = self.index.accounts();
         let account = call.key.as_ref().and_then(|key| accounts.find(key));
         match account {
             Some(account) => Ok(Some(account.clone())),
             None if route.public || !accounts.required => Ok(None),
-            None if self.word_age() <= CERTAIN => Err(Reason::UnknownKey),
-            None => Err(Reason::UnconfirmedKey),
+            None if self.store_answer_age() <= CERTAIN => Err(RefusalReason::UnknownKey),
+            None => Err(RefusalReason::UnconfirmedKey),
         }
     }
 
@@ -159,16 +159,16 @@
     pub(crate) fn refuse_unidentified(
         &self,
         request: RequestId,
-        call: &Call,
-        reason: Reason,
+        call: &CallerRequest,
+        reason: RefusalReason,
         out: &mut Effects,
     ) {
         let (why, after) = match reason {
-            Reason::UnconfirmedKey => ("key_unconfirmed", Some(CONFIRMED_WITHIN)),
+            RefusalReason::UnconfirmedKey => ("key_unconfirmed", Some(CONFIRMED_WITHIN)),
             _ => ("key_unknown", None),
         };
         let key = call.key.map_or("none".to_owned(), |key| key.to_string());
-        let (version, age) = (self.version(), self.word_age());
+        let (version, age) = (self.config_version(), self.store_answer_age());
         let detail = format!(
             "id={} why={why} key={key} config={version} word_age={age}",
             call.id
--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -23,8 +23,8 @@
 
 use self::bucket::{Bucket, Terms};
 use self::pool::Pools;
-use super::{Limit, Tokens};
-use crate::cluster::passed_by;
+use super::{TokenLimit, Tokens};
+use crate::cluster::exclusion;
 use crate::effect::Effects;
 use crate::event::RequestId;
 use crate::node::Gateway;
@@ -49,7 +49,7 @@
 
 /// What a VM draws from the pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Draw {
+pub struct TokenRequest {
     /// The account.
     pub account: Tenant,
     /// The number of the draw, by which its answer is known.
@@ -60,10 +60,10 @@
     pub room: Tokens,
 }
 
-impl Draw {
+impl TokenRequest {
     /// The answer to it: granted with so many more tokens, or when there may be some.
-    fn answer(&self, answer: Result<Tokens, Span>) -> Grant {
-        Grant {
+    fn answer(&self, answer: Result<Tokens, Span>) -> TokenGrant {
+        TokenGrant {
             account: self.account.clone(),
             number: self.number,
             answer,
@@ -73,7 +73,7 @@
 
 /// The pool's answer to a draw.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct TokenGrant {
     /// The account.
     pub account: Tenant,
     /// The number of the draw.
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 struct Share {
     /// The account's limit.
-    limit: Limit,
+    limit: TokenLimit,
     /// The tokens.
     bucket: Bucket,
     /// Requests that wait for tokens, by the numbers of their draws.
@@ -122,7 +122,7 @@
     /// What it lends to others.
     pools: Pools,
     /// VMs that kept the pool and did not answer.
-    passed: passed_by::List,
+    passed: exclusion::Exclusions,
     /// The number of VMs, and when it was found.
     fleet: Option<(usize, Instant)>,
     /// When this VM started.
@@ -141,7 +141,7 @@
 }
 
 impl Allowance {
-    fn new(limit: Limit, tuning: &Tuning) -> Self {
+    fn new(limit: TokenLimit, tuning: &Tuning) -> Self {
         let seconds = tuning.quota_window.as_secs_f64();
         let burst = limit.burst.as_f64();
         let window = limit.rate.as_f64() * seconds + burst;
@@ -178,13 +178,13 @@
     }
 
     /// The key-value service has this VM's entry of an earlier start.
-    pub(crate) fn quota_returned(&mut self) {
+    pub(crate) fn quota_restarted(&mut self) {
         self.quota.returned = true;
     }
 
     /// The configuration has changed: accounts that are new have an empty share, others keep what still fits.
-    pub(crate) fn limits_changed(&mut self, out: &mut Effects) {
-        let limits: BTreeMap<Tenant, Limit> = self.limits_by_account().collect();
+    pub(crate) fn apply_account_limits(&mut self, out: &mut Effects) {
+        let limits: BTreeMap<Tenant, TokenLimit> = self.limits_by_account().collect();
         let mut shares = std::mem::take(&mut self.quota.shares);
         for (account, limit) in &limits {
             let (before, after) = (shares.remove(account), self.share_terms(*limit));
@@ -206,11 +206,11 @@
         let free = shares.into_values().flat_map(|share| share.waiting);
         let free: Vec<RequestId> = free.map(|(_, waiting)| waiting.request).collect();
         for request in free {
-            self.seek(request, out);
+            self.find_server(request, out);
         }
     }
 
-    fn limits_by_account(&self) -> impl Iterator<Item = (Tenant, Limit)> {
+    fn limits_by_account(&self) -> impl Iterator<Item = (Tenant, TokenLimit)> {
         let accounts = self.config.iter().flat_map(|c| c.accounts.iter().flatten());
         accounts.filter_map(|account| Some((account.name.clone(), account.limit?)))
     }
@@ -221,7 +221,7 @@
         match self.quota.fleet {
             Some((vms, found)) if self.now.since(found) < FLEET_AGE => vms,
             _ => {
-                let vms = self.membership.lately(self.now, &self.settings.vm) + 1;
+                let vms = self.membership.recent_count(self.now, &self.settings.vm) + 1;
                 self.quota.fleet = Some((vms, self.now));
                 vms
             }
@@ -229,7 +229,7 @@
     }
 
     /// This VM's part of a limit.
-    fn share_terms(&mut self, limit: Limit) -> Terms {
+    fn share_terms(&mut self, limit: TokenLimit) -> Terms {
         let vms = self.fleet();
         let terms = Allowance::new(limit, &self.settings.tuning).share(vms);
         let settled = self.quota.returned || self.now.since(self.quota.started) >= SETTLED;
@@ -249,7 +249,7 @@
     }
 
     /// Looks at draws that have no answer, and at what waits in the pool.
-    pub(crate) fn quota_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_quota_timer(&mut self, out: &mut Effects) {
         let now = self.now;
         let mut answers = Vec::new();
         self.quota.pools.expire(now, &mut answers);
@@ -266,7 +266,7 @@
 }
 
 impl Share {
-    fn new(limit: Limit, now: Instant) -> Self {
+    fn new(limit: TokenLimit, now: Instant) -> Self {
         Self {
             limit,
             bucket: Bucket::new(now),
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -7,16 +7,16 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use super::{Draw, Grant, Waiting, pool};
+use super::{TokenGrant, TokenRequest, Waiting, pool};
 use crate::account::Tokens;
 use crate::cluster::membership;
 use crate::effect::Effects;
 use crate::event::RequestId;
 use crate::feature::Feature;
-use crate::measure;
 use crate::message::Message;
+use crate::metrics;
 use crate::node::Gateway;
-use crate::request::flow::{State as Flow, Why};
+use crate::request::state::{Phase, RefusalDetail};
 use crate::timer::Timer;
 
 /// How much longer than a pool has a draw may stay without an answer before another VM is asked.
@@ -41,13 +41,13 @@
     /// Charges a request to its account, if that has a limit, and goes on with it when there are tokens.
     pub(crate) fn charge(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let cost = flow.cost;
-        let account = flow.account.as_ref().map(|account| account.name.clone());
+        let cost = state.cost;
+        let account = state.account.as_ref().map(|account| account.name.clone());
         let Some(account) = account.filter(|name| self.quota.shares.contains_key(name)) else {
-            self.seek(request, out);
+            self.find_server(request, out);
             return;
         };
         let Some((share, _)) = self.share(&account) else {
@@ -68,21 +68,21 @@
 
     /// A request's tokens are taken.
     fn charged(&mut self, request: RequestId, out: &mut Effects) {
-        if let Some(flow) = self.flows.get_mut(&request) {
-            flow.charged = true;
-            let account = flow.account.as_ref().map(|account| &account.name);
-            measure::tokens(out, account, flow.cost, "admitted");
+        if let Some(state) = self.in_flight.get_mut(&request) {
+            state.charged = true;
+            let account = state.account.as_ref().map(|account| &account.name);
+            metrics::count_tokens(out, account, state.cost, "admitted");
         }
-        self.seek(request, out);
+        self.find_server(request, out);
     }
 
     /// Gives the tokens of a request back that did not run.
     pub(crate) fn refund(&mut self, request: RequestId) {
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        let charged = std::mem::take(&mut flow.charged);
-        let (cost, account) = (flow.cost, flow.account.clone());
+        let charged = std::mem::take(&mut state.charged);
+        let (cost, account) = (state.cost, state.account.clone());
         if let Some(account) = account.filter(|_| charged) {
             self.give_back(&account.name, cost);
         }
@@ -100,15 +100,15 @@
     fn draw(&mut self, account: &Tenant, request: RequestId, tries: u32, out: &mut Effects) {
         let until = self.now + pool::pause(self.fleet()) + ANSWER_MARGIN;
         let (to, number) = (self.pool_keeper(), self.rng.random());
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        flow.state = Flow::Charging;
-        let tokens = flow.cost;
+        state.phase = Phase::Charging;
+        let tokens = state.cost;
         let Some((share, terms)) = self.share(account) else {
             return;
         };
-        let draw = Draw {
+        let draw = TokenRequest {
             account: account.clone(),
             number,
             tokens,
@@ -126,7 +126,7 @@
             self.drawn(&to, draw, out);
         } else {
             self.timers.set_once(until, Timer::Quota);
-            self.send(&to, Message::Draw(draw), out);
+            self.send(&to, Message::TokenRequest(draw), out);
         }
     }
 
@@ -147,7 +147,7 @@
             (
                 schedules(vm),
                 strength,
-                membership::score(&("pool", vm.as_str())),
+                membership::rendezvous_score(&("pool", vm.as_str())),
             )
         };
         let keeper = peers.chain([me]).min_by_key(|vm| rank(vm));
@@ -164,7 +164,7 @@
     ) {
         let surplus = self.surplus(accounts);
         if !surplus.is_empty() {
-            self.send(from, Message::Deposit(number, surplus), out);
+            self.send(from, Message::SurplusTokens(number, surplus), out);
         }
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// The pool answers a draw of this VM.
-    pub(crate) fn granted(&mut self, grant: &Grant, out: &mut Effects) {
+    pub(crate) fn granted(&mut self, grant: &TokenGrant, out: &mut Effects) {
         let now = self.now;
         let Some((share, terms)) = self.share(&grant.account) else {
             return;
@@ -203,7 +203,7 @@
             Ok(more) => {
                 share.bucket.put(more, terms.most);
                 // The caller may have left meanwhile.
-                if self.flows.contains_key(&request) {
+                if self.in_flight.contains_key(&request) {
                     self.charged(request, out);
                 } else {
                     self.give_back(&grant.account, tokens);
@@ -219,11 +219,11 @@
     /// Refuses a request that its account has no tokens for. Callers are told times that differ, so that they don't come back together.
     fn over_limit(&mut self, request: RequestId, after: Span, out: &mut Effects) {
         let spread = Span(self.rng.random_range(0..=after.0 / 2));
-        if let Some(flow) = self.flows.get(&request) {
-            let account = flow.account.as_ref().map(|account| &account.name);
-            measure::tokens(out, account, flow.cost, "refused");
+        if let Some(state) = self.in_flight.get(&request) {
+            let account = state.account.as_ref().map(|account| &account.name);
+            metrics::count_tokens(out, account, state.cost, "refused");
         }
-        self.give_up(request, Some(after + spread), Why::OverLimit, out);
+        self.refuse_request(request, Some(after + spread), RefusalDetail::OverLimit, out);
     }
 
     /// Has another VM asked for what some draws are to bring, or refuses the requests that wait for them.
--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -7,12 +7,12 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::fact::{Backend, Change, Fact, Revision, Subject, Way};
-use crate::config::{Config, Index};
+use crate::cluster::snapshot::{Backend, Change, Delivery, EntryKey, EntryValue, Revision};
+use crate::config::{Config, RouteIndex};
 use crate::effect::{Effect, Effects};
 use crate::node::Gateway;
-use crate::request::load_balancer::Row;
-use crate::request::quarantine::LENGTH;
+use crate::request::load_balancer::ServerState;
+use crate::request::quarantine::QUARANTINE_DURATION;
 use crate::timer::Timer;
 
 /// The least time between two lines on entries that can't be read.
@@ -37,15 +37,15 @@
     pub(crate) fn apply_changes(
         &mut self,
         changes: Vec<Change>,
-        way: Way,
+        way: Delivery,
         recovering: bool,
         out: &mut Effects,
     ) {
         for change in changes {
-            match &change.subject {
-                Subject::Server(server) if recovering && change.fact.is_none() => {
+            match &change.key {
+                EntryKey::Server(server) if recovering && change.value.is_none() => {
                     // It may be told late, and the server be back by now.
-                    if self.facts.lacks(&change) {
+                    if self.snapshot.lacks(&change) {
                         self.lapse(server.clone(), out);
                     }
                 }
@@ -61,14 +61,14 @@
         revision: Revision,
         out: &mut Effects,
     ) {
-        let known: Vec<Subject> = self.facts.present().map(|c| c.subject.clone()).collect();
-        let listed: BTreeSet<Subject> = changes.iter().map(|c| c.subject.clone()).collect();
-        self.apply_changes(changes, Way::Told, false, out);
+        let known: Vec<EntryKey> = self.snapshot.present().map(|c| c.key.clone()).collect();
+        let listed: BTreeSet<EntryKey> = changes.iter().map(|c| c.key.clone()).collect();
+        self.apply_changes(changes, Delivery::LatestOnly, false, out);
         for subject in known.into_iter().filter(|s| !listed.contains(s)) {
             match subject {
-                Subject::Config | Subject::Version(..) => {}
-                Subject::Server(server) if self.recovering() => self.lapse(server, out),
-                subject => self.apply(removal(subject, revision), Way::Told, out),
+                EntryKey::Config | EntryKey::Version(..) => {}
+                EntryKey::Server(server) if self.recovering() => self.lapse(server, out),
+                subject => self.apply(removal(subject, revision), Delivery::LatestOnly, out),
             }
         }
     }
@@ -80,9 +80,9 @@
             Code::EntryLapsed,
             format!("server={server} until={until}"),
         );
-        self.facts.lapse(&Subject::Server(server.clone()));
+        self.snapshot.lapse(&EntryKey::Server(server.clone()));
         self.applied.lapsed.entry(server).or_insert(until);
-        self.timers.set(until, Timer::Follow);
+        self.timers.set(until, Timer::Watch);
     }
 
     pub(crate) fn drop_lapsed(&mut self, out: &mut Effects) {
@@ -95,64 +95,64 @@
             .collect();
         for server in due {
             self.applied.lapsed.remove(&server);
-            self.facts.forget(&Subject::Server(server.clone()));
+            self.snapshot.forget(&EntryKey::Server(server.clone()));
             self.lose_server(&server, out);
         }
     }
 
     /// Takes one change in, unless a newer one of its subject is known.
-    fn apply(&mut self, change: Change, way: Way, out: &mut Effects) {
-        if change.fact == Some(Fact::Unreadable) {
-            self.note_unreadable(&change.subject, out);
+    fn apply(&mut self, change: Change, way: Delivery, out: &mut Effects) {
+        if change.value == Some(EntryValue::Unreadable) {
+            self.note_unreadable(&change.key, out);
             // What the operator wrote stays in force until it writes anew.
-            if matches!(change.subject, Subject::Config | Subject::Version(..)) {
+            if matches!(change.key, EntryKey::Config | EntryKey::Version(..)) {
                 return;
             }
         }
-        if !self.facts.apply(change.clone(), way) {
+        if !self.snapshot.apply(change.clone(), way) {
             return;
         }
-        match (change.subject, change.fact) {
-            (Subject::Config, Some(Fact::Config(config))) => self.apply_config(config, out),
-            (Subject::Version(model, adapter), Some(Fact::Version(version))) => {
-                self.newer_version(&model, &adapter, version);
+        match (change.key, change.value) {
+            (EntryKey::Config, Some(EntryValue::Config(config))) => self.apply_config(config, out),
+            (EntryKey::Version(model, adapter), Some(EntryValue::Version(version))) => {
+                self.update_adapter_version(&model, &adapter, version);
                 Self::log(
                     out,
                     Code::VersionNamed,
                     format!("adapter={model}/{adapter} version={version}"),
                 );
             }
-            (Subject::Server(server), Some(Fact::Server(backend))) => {
+            (EntryKey::Server(server), Some(EntryValue::Server(backend))) => {
                 self.applied.lapsed.remove(&server);
                 self.apply_server(&server, &backend, out);
             }
-            (Subject::Server(server), _) => self.lose_server(&server, out),
-            (Subject::Holder(service), Some(Fact::Holder(holder))) => {
-                self.holder_named(&service, &holder, change.revision, out);
+            (EntryKey::Server(server), _) => self.lose_server(&server, out),
+            (EntryKey::Holder(service), Some(EntryValue::Holder(holder))) => {
+                self.handle_new_holder(&service, &holder, change.revision, out);
             }
-            (Subject::Holder(service), _) => self.holder_gone(&service, out),
-            (Subject::Quarantine(fingerprint), Some(_)) => {
-                self.put_in_quarantine(fingerprint, LENGTH, "record", out);
+            (EntryKey::Holder(service), _) => self.handle_holder_gone(&service, out),
+            (EntryKey::Quarantine(fingerprint), Some(_)) => {
+                self.put_in_quarantine(fingerprint, QUARANTINE_DURATION, "record", out);
             }
-            (Subject::Quarantine(fingerprint), None) => {
+            (EntryKey::Quarantine(fingerprint), None) => {
                 self.end_quarantine(fingerprint, "record_gone", out);
             }
-            (Subject::Member(vm), None) if vm == self.settings.vm => self.registration_gone(),
-            (Subject::Member(vm), Some(Fact::Member(member))) => {
+            (EntryKey::Member(vm), None) if vm == self.settings.vm => self.registration_gone(),
+            (EntryKey::Member(vm), Some(EntryValue::Member(member))) => {
                 if vm == self.settings.vm && member.incarnation != self.settings.incarnation {
-                    self.quota_returned();
+                    self.quota_restarted();
                 }
                 self.membership.listed(&vm, &member);
             }
-            (Subject::Member(vm), _) if self.membership.unlisted(&vm, self.now) => {
-                self.scheduler_vm_gone(&vm);
+            (EntryKey::Member(vm), _) if self.membership.unlisted(&vm, self.now) => {
+                self.remove_scheduler_vm(&vm);
             }
             _ => {}
         }
     }
 
     /// Writes a line on an entry that can't be read. A writer of such entries may write any number of them.
-    fn note_unreadable(&mut self, subject: &Subject, out: &mut Effects) {
+    fn note_unreadable(&mut self, subject: &EntryKey, out: &mut Effects) {
         self.applied.unreadable += 1;
         if self.now < self.applied.told + UNREADABLE_AGAIN {
             return;
@@ -164,10 +164,10 @@
     }
 
     fn apply_config(&mut self, config: Arc<Config>, out: &mut Effects) {
-        if config.version <= self.version() {
+        if config.version <= self.config_version() {
             return;
         }
-        self.index = Index::new(&config);
+        self.index = RouteIndex::new(&config);
         let (version, routes) = (config.version, config.routes.len());
         Self::log(
             out,
@@ -175,8 +175,8 @@
             format!("version={version} routes={routes}"),
         );
         self.config = Some(config);
-        self.limits_changed(out);
-        self.leaderships_changed(out);
+        self.apply_account_limits(out);
+        self.update_candidacies(out);
     }
 
     /// Takes a server's entry in. Where any server tells its start all do, so that one that does not is another program's.
@@ -192,7 +192,7 @@
                 }
             }
             None if self.applied.starts => {
-                self.note_unreadable(&Subject::Server(server.clone()), out);
+                self.note_unreadable(&EntryKey::Server(server.clone()), out);
                 self.lose_server(server, out);
                 return;
             }
@@ -202,11 +202,11 @@
             if row.backend.ready && !backend.ready {
                 Self::log(out, Code::ServerLeaving, format!("server={server}"));
             }
-            let restarted = row.describe(backend);
+            let restarted = row.update_backend(backend);
             if restarted {
                 let detail = format!("server={server} start={:?}", backend.start);
                 Self::log(out, Code::ServerRestarted, detail);
-                self.forget_residents(&backend.service, server);
+                self.clear_residents(&backend.service, server);
                 self.forget_notices(server, out);
                 self.server_ended(server, out);
             }
@@ -214,34 +214,34 @@
             let (service, address) = (&backend.service, backend.address);
             let detail = format!("server={server} service={service} address={address}");
             Self::log(out, Code::ServerListed, detail);
-            self.notices.listed(server, backend.start);
+            self.notices.server_listed(server, backend.start);
             self.servers
-                .insert(server.clone(), Row::new(backend.clone()));
+                .insert(server.clone(), ServerState::new(backend.clone()));
         }
-        self.scheduler_server(server, backend);
+        self.update_scheduler_server(server, backend);
     }
 
     fn lose_server(&mut self, server: &Server, out: &mut Effects) {
         if let Some(row) = self.servers.remove(server) {
             Self::log(out, Code::ServerGone, format!("server={server}"));
             let leaving = self.notices.leaving(server).is_some();
-            self.notices.unlisted(server, self.now);
-            out.push(Effect::Track(server.clone(), false));
+            self.notices.server_unlisted(server, self.now);
+            out.push(Effect::TrackAnswers(server.clone(), false));
             // The end of one that was leaving is its own.
             if row.backend.ready && !leaving {
                 self.server_ended(server, out);
             }
-            self.scheduler_server_gone(server, &row.backend.service);
+            self.remove_scheduler_server(server, &row.backend.service);
         }
     }
 }
 
 /// That a subject is gone as of a revision.
-fn removal(subject: Subject, revision: Revision) -> Change {
+fn removal(key: EntryKey, revision: Revision) -> Change {
     Change {
-        subject,
+        key,
         revision,
         created: 0,
-        fact: None,
+        value: None,
     }
 }
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -14,11 +14,11 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::candidacy::{Candidacy, SETTLED};
-use crate::cluster::fact::{Change, Fact, Holder, Subject, Way, own};
+use crate::cluster::candidacy::{Candidacy, MIN_TENURE};
 use crate::cluster::lease::{Kept, Terms};
-use crate::effect::{Effects, Op, OpId};
-use crate::event::Outcome;
+use crate::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Holder, proposed_change};
+use crate::effect::{Effects, KvOperation, KvOperationId};
+use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::scheduler::Scheduler;
 use crate::timer::Timer;
@@ -60,7 +60,7 @@
     /// The leaderships that this VM takes once it has a lease.
     asked: BTreeSet<Service>,
     /// Calls in progress, with the time at which each was sent.
-    calls: BTreeMap<OpId, (Purpose, Instant)>,
+    calls: BTreeMap<KvOperationId, (Purpose, Instant)>,
     /// This VM's candidacies for free leaderships.
     pub(crate) candidacies: BTreeMap<Service, Candidacy>,
     /// Until when other VMs that start beside this one may still write their entries.
@@ -81,7 +81,7 @@
     /// of this VM's orders within three seconds.
     pub(crate) fn rested(&self, service: &Service) -> Instant {
         let lost = self.lost.get(service);
-        lost.map_or(Instant::default(), |lost| lost.at + SETTLED)
+        lost.map_or(Instant::default(), |lost| lost.at + MIN_TENURE)
     }
 
     /// This VM ceases to hold a leadership.
@@ -94,7 +94,7 @@
     /// Whether this VM has lost a leadership twice in a short time, and a moment ago.
     pub(crate) fn should_yield(&self, service: &Service, now: Instant) -> bool {
         let lost = self.lost.get(service);
-        lost.is_some_and(|lost| lost.again && now < lost.at + SETTLED)
+        lost.is_some_and(|lost| lost.again && now < lost.at + MIN_TENURE)
     }
 
     /// When the lease was last renewed.
@@ -115,18 +115,18 @@
 
     /// Another VM schedules: a candidacy that waits was one for the vacancy before. Kept, it would come at once in the next one, and a weak VM
     /// go before strong ones.
-    pub(crate) fn end_wait(&mut self, service: &Service) {
+    pub(crate) fn cancel_candidacy(&mut self, service: &Service) {
         self.candidacies.remove(service);
     }
 
     /// The holder of a leadership changed.
-    pub(crate) fn note_change(&mut self, service: &Service, now: Instant) {
+    pub(crate) fn record_holder_change(&mut self, service: &Service, now: Instant) {
         self.changes.insert(service.clone(), now);
     }
 }
 
 impl Gateway {
-    pub(crate) fn leadership_start(&mut self) {
+    pub(crate) fn start_candidacy_delay(&mut self) {
         self.leaderships.meets = self.now + MEETING;
     }
 
@@ -141,7 +141,12 @@
     }
 
     /// A call on the lease or a leadership came back.
-    pub(crate) fn leadership_answered(&mut self, op: OpId, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_leadership_outcome(
+        &mut self,
+        op: KvOperationId,
+        outcome: KvOutcome,
+        out: &mut Effects,
+    ) {
         let Some((purpose, sent)) = self.leaderships.calls.remove(&op) else {
             return;
         };
@@ -150,44 +155,44 @@
         }
         let (now, terms) = (self.now, self.leadership_terms());
         match (purpose, outcome) {
-            (Purpose::Lease, Outcome::Granted(id, _)) => {
+            (Purpose::Lease, KvOutcome::Granted(id, _)) => {
                 self.leaderships.lease.was_granted(now, sent, id, terms);
                 self.take_asked(out);
             }
-            (Purpose::Lease, Outcome::Renewed(_)) => {
+            (Purpose::Lease, KvOutcome::Renewed(_)) => {
                 self.leaderships.lease.was_renewed(sent, terms);
-                self.leaderships_changed(out);
+                self.update_candidacies(out);
             }
-            (Purpose::Leadership(service), Outcome::Written(revision)) => {
+            (Purpose::Leadership(service), KvOutcome::Written(revision)) => {
                 self.leadership_written(&service, revision, out);
             }
-            (Purpose::Leadership(_), Outcome::Conflict(changes)) => {
-                self.apply_changes(changes, Way::Told, false, out);
+            (Purpose::Leadership(_), KvOutcome::Conflict(changes)) => {
+                self.apply_changes(changes, Delivery::LatestOnly, false, out);
                 // It may be the entry that is gone.
                 self.probe_by_registration(out);
             }
-            (Purpose::Lease | Purpose::Leadership(_), Outcome::NoLease) => self.lease_lost(out),
+            (Purpose::Lease | Purpose::Leadership(_), KvOutcome::NoLease) => self.lease_lost(out),
             (Purpose::Lease, _) => self.leaderships.lease.failed(now, terms, &mut self.rng),
             _ => {}
         }
         self.keep_lease(out);
     }
 
-    pub(crate) fn leadership_due(&mut self, out: &mut Effects) {
-        self.watch_holders(out);
+    pub(crate) fn handle_leadership_timer(&mut self, out: &mut Effects) {
+        self.check_holder_timeouts(out);
         self.request_votes(out);
         self.stop_in_time(out);
         self.leave_to_stronger(out);
         self.keep_lease(out);
         if self.lacks_candidacy() {
-            self.leaderships_changed(out);
+            self.update_candidacies(out);
         } else {
             self.take_leaderships(out);
         }
     }
 
     /// This VM holds a leadership.
-    pub(crate) fn leadership_won(&mut self, service: &Service, fence: u64, out: &mut Effects) {
+    pub(crate) fn start_scheduler(&mut self, service: &Service, fence: u64, out: &mut Effects) {
         let Some(application) = self.index.service(service.as_str()).cloned() else {
             return;
         };
@@ -207,27 +212,27 @@
         let mut scheduler = Scheduler::new(self.now, &application, fence, self.settings.clone());
         for (server, row) in &self.servers {
             if row.backend.service == *service {
-                scheduler.server(server, &row.backend);
+                scheduler.update_server(server, &row.backend);
                 self.notices
-                    .brief(self.now, &self.settings.vm, &mut scheduler, server);
+                    .inform_scheduler(self.now, &self.settings.vm, &mut scheduler, server);
             }
         }
-        for change in self.facts.present() {
-            if let (Subject::Version(model, adapter), Some(Fact::Version(version))) =
-                (&change.subject, &change.fact)
+        for change in self.snapshot.present() {
+            if let (EntryKey::Version(model, adapter), Some(EntryValue::Version(version))) =
+                (&change.key, &change.value)
             {
-                scheduler.newer(model, adapter, *version, None);
+                scheduler.update_adapter_version(model, adapter, *version, None);
             }
         }
-        let (running, wants) = self.state_for(service);
-        scheduler.hello(self.now, &self.settings.vm, &running, wants);
+        let (running, wants) = self.running_and_waiting(service);
+        scheduler.resync_vm(self.now, &self.settings.vm, &running, wants);
         self.schedulers.insert(service.clone(), scheduler);
         self.timers.set(self.now, Timer::Scheduler(service.clone()));
         self.timers.set(self.now, Timer::Leadership);
     }
 
     /// Another VM holds a leadership, or nobody does.
-    pub(crate) fn leadership_lost(&mut self, service: &Service, out: &mut Effects) {
+    pub(crate) fn stop_scheduler(&mut self, service: &Service, out: &mut Effects) {
         if self.schedulers.remove(service).is_some() {
             self.leaderships.note_loss(service, self.now);
             Self::log(out, Code::LeaseLost, format!("service={service}"));
@@ -235,7 +240,7 @@
     }
 
     /// A server has seen a higher fencing number than that of this VM's leadership.
-    pub(crate) fn fenced_off(&mut self, service: &Service, out: &mut Effects) {
+    pub(crate) fn handle_fenced_order(&mut self, service: &Service, out: &mut Effects) {
         let Some(scheduler) = self.schedulers.get(service) else {
             return;
         };
@@ -245,8 +250,8 @@
             Code::Fenced,
             format!("service={service} fence={fence}"),
         );
-        self.leadership_lost(service, out);
-        let known = self.facts.get(&Subject::Holder(service.clone()));
+        self.stop_scheduler(service, out);
+        let known = self.snapshot.get(&EntryKey::Holder(service.clone()));
         if known.is_some_and(|change| change.revision == fence) {
             self.resign(service, out);
         }
@@ -256,7 +261,7 @@
     pub(crate) fn resign_all(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.schedulers.keys().cloned().collect();
         for service in services {
-            self.leadership_lost(&service, out);
+            self.stop_scheduler(&service, out);
             self.resign(&service, out);
             if let Some(client) = self.scheduler_clients.get_mut(&service) {
                 client.holder = None;
@@ -266,14 +271,14 @@
 
     /// Takes this VM out of a leadership, unless somebody else has it by now.
     pub(crate) fn resign(&mut self, service: &Service, out: &mut Effects) {
-        let subject = Subject::Holder(service.clone());
-        if let Some(revision) = self.facts.get(&subject).map(|c| c.revision) {
+        let subject = EntryKey::Holder(service.clone());
+        if let Some(revision) = self.snapshot.get(&subject).map(|c| c.revision) {
             Self::log(
                 out,
                 Code::SeatLeft,
                 format!("service={service} fence={revision}"),
             );
-            self.leadership_call(Purpose::Other, Op::Remove(subject, revision), out);
+            self.leadership_call(Purpose::Other, KvOperation::Remove(subject, revision), out);
         }
     }
 
@@ -287,23 +292,23 @@
 
     /// Whether a change says that this VM, in this start, holds a leadership.
     fn is_holder(&self, change: &Change) -> bool {
-        change.fact == Some(Fact::Holder(self.as_holder()))
+        change.value == Some(EntryValue::Holder(self.as_holder()))
     }
 
-    fn leadership_call(&mut self, purpose: Purpose, op: Op, out: &mut Effects) {
+    fn leadership_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
         let now = self.now;
-        let id = self.store(op, out);
+        let id = self.call_kv(op, out);
         self.leaderships.calls.insert(id, (purpose, now));
     }
 
     fn leadership_written(&mut self, service: &Service, revision: u64, out: &mut Effects) {
-        let mut change = own(
-            Subject::Holder(service.clone()),
-            Fact::Holder(self.as_holder()),
+        let mut change = proposed_change(
+            EntryKey::Holder(service.clone()),
+            EntryValue::Holder(self.as_holder()),
         );
         change.revision = revision;
         change.created = revision;
-        self.apply_changes(vec![change], Way::Told, false, out);
+        self.apply_changes(vec![change], Delivery::LatestOnly, false, out);
     }
 
     fn lease_lost(&mut self, out: &mut Effects) {
@@ -327,7 +332,7 @@
         for service in services {
             let voted = self.voted_until(&service);
             match sure.max(voted) {
-                last if self.now >= last => self.leadership_lost(&service, out),
+                last if self.now >= last => self.stop_scheduler(&service, out),
                 last => self.timers.set_once(last, Timer::Leadership),
             }
             let alone = self.now >= sure && self.now < voted;
@@ -349,7 +354,7 @@
     fn lose_leaderships(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.schedulers.keys().cloned().collect();
         for service in services {
-            self.leadership_lost(&service, out);
+            self.stop_scheduler(&service, out);
         }
     }
 
@@ -360,13 +365,13 @@
                 self.set_candidacy(service, Candidacy::Take(self.now), out);
             }
         }
-        self.leaderships_changed(out);
+        self.update_candidacies(out);
     }
 
     /// Whether the lease is wanted: a leadership is held or to be taken, or may yet be written by a call that had no answer.
     fn wants_lease(&self) -> bool {
         let engines = self.index.engines();
-        let mut held = engines.filter_map(|s| self.facts.get(&Subject::Holder(s.name.clone())));
+        let mut held = engines.filter_map(|s| self.snapshot.get(&EntryKey::Holder(s.name.clone())));
         !self.schedulers.is_empty()
             || !self.leaderships.asked.is_empty()
             || !self.leaderships.calls.is_empty()
@@ -396,7 +401,7 @@
     /// Whether the key-value service has answered no call of this VM lately: neither a watch nor, since one failed, a renewal. A holder
     /// whose renewals get through and whose watches don't would else keep its leadership and not schedule.
     fn is_unreached(&self) -> bool {
-        let away = self.follow.away;
+        let away = self.watch.away;
         away.is_some_and(|since| self.leaderships.renewed() < since)
     }
 
@@ -414,15 +419,15 @@
             self.keep_lease(out);
             return;
         };
-        let subject = Subject::Holder(service);
+        let subject = EntryKey::Holder(service);
         let known = self
-            .facts
+            .snapshot
             .get(&subject)
-            .filter(|change| change.fact.is_some());
+            .filter(|change| change.value.is_some());
         let expected = known.map_or(0, |change| change.revision);
-        let member = Subject::Member(self.settings.vm.clone());
+        let member = EntryKey::Member(self.settings.vm.clone());
         let conditions = vec![(subject.clone(), expected), (member, entry)];
-        let change = own(subject, Fact::Holder(self.as_holder()));
-        self.leadership_call(purpose, Op::Put(change, lease, conditions), out);
+        let change = proposed_change(subject, EntryValue::Holder(self.as_holder()));
+        self.leadership_call(purpose, KvOperation::Put(change, lease, conditions), out);
     }
 }
--- a/crates/gateway/src/cluster/lease_vote.rs
+++ b/crates/gateway/src/cluster/lease_vote.rs
@@ -12,7 +12,7 @@
 use dahliastile_core::time::{Instant, Span};
 
 use crate::effect::Effects;
-use crate::event::Outcome;
+use crate::event::KvOutcome;
 use crate::feature::Feature;
 use crate::message::Message;
 use crate::node::Gateway;
@@ -58,8 +58,8 @@
     }
 
     /// A write of a leadership came back.
-    pub(crate) fn leadership_written(&mut self, now: Instant, outcome: &Outcome) {
-        if matches!(outcome, Outcome::Unknown) {
+    pub(crate) fn leadership_written(&mut self, now: Instant, outcome: &KvOutcome) {
+        if matches!(outcome, KvOutcome::Unknown) {
             self.unsure = now + LATE_WRITE;
         }
     }
@@ -86,12 +86,12 @@
         self.timers.set_once(self.votes.next, Timer::Leadership);
         for (service, scheduler) in &self.schedulers {
             let question = Message::RequestLeaseVote(service.clone(), scheduler.fence(), self.now);
-            self.tell_all(&question, out);
+            self.broadcast(&question, out);
         }
     }
 
     /// The holder of a leadership asks for a vote. It came from the one that this VM takes for the holder.
-    pub(crate) fn vote_requested(
+    pub(crate) fn handle_vote_request(
         &mut self,
         service: &Service,
         fence: u64,
@@ -116,7 +116,7 @@
     }
 
     /// A VM has given the vote that this one asked for at a time.
-    pub(crate) fn voted(&mut self, service: &Service, fence: u64, asked: Instant, from: &Vm) {
+    pub(crate) fn handle_vote(&mut self, service: &Service, fence: u64, asked: Instant, from: &Vm) {
         let holds = self
             .schedulers
             .get(service)
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -9,10 +9,10 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::fact::{Fact, Revision, Subject, own};
 use crate::cluster::lease::{Kept, Terms};
-use crate::effect::{Effects, Op, OpId};
-use crate::event::Outcome;
+use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, proposed_change};
+use crate::effect::{Effects, KvOperation, KvOperationId};
+use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::timer::Timer;
 
@@ -50,12 +50,12 @@
     /// The revision at which the entry was written under it.
     written: Option<Revision>,
     /// Calls in progress, with the time at which each was sent.
-    calls: BTreeMap<OpId, (Purpose, Instant)>,
+    calls: BTreeMap<KvOperationId, (Purpose, Instant)>,
 }
 
 impl State {
     /// Whether a call is one on the entry.
-    pub(crate) fn owns(&self, op: OpId) -> bool {
+    pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.calls.contains_key(&op)
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Calls on the entry, where one is due.
-    pub(crate) fn registration_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_registration_timer(&mut self, out: &mut Effects) {
         if self.stopping {
             return;
         }
@@ -106,29 +106,34 @@
     }
 
     /// A call on the entry came back.
-    pub(crate) fn registration_answered(&mut self, op: OpId, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_registration_outcome(
+        &mut self,
+        op: KvOperationId,
+        outcome: KvOutcome,
+        out: &mut Effects,
+    ) {
         let Some((purpose, sent)) = self.registration.calls.remove(&op) else {
             return;
         };
         let (now, terms) = (self.now, self.registration_terms());
         match (purpose, outcome) {
-            (Purpose::Lease, Outcome::Granted(id, _)) => {
+            (Purpose::Lease, KvOutcome::Granted(id, _)) => {
                 self.registration.lease.was_granted(now, sent, id, terms);
                 self.registration.written = None;
                 self.register(out);
-                self.leaderships_changed(out);
+                self.update_candidacies(out);
             }
-            (Purpose::Lease, Outcome::Renewed(_)) => {
+            (Purpose::Lease, KvOutcome::Renewed(_)) => {
                 self.registration.lease.was_renewed(sent, terms);
                 if self.registration.written.is_none() {
                     self.register(out);
                 }
             }
-            (Purpose::Write, Outcome::Written(revision)) => {
+            (Purpose::Write, KvOutcome::Written(revision)) => {
                 self.registration.written = Some(revision);
                 self.take_asked(out);
             }
-            (Purpose::Lease | Purpose::Write, Outcome::NoLease) => {
+            (Purpose::Lease | Purpose::Write, KvOutcome::NoLease) => {
                 self.registration.lease.ended(now, terms, &mut self.rng);
                 self.registration.written = None;
                 let detail = "of=entry next=grant".to_owned();
@@ -138,7 +143,7 @@
             (Purpose::Write, _) => self.registration.lease.expedite(now, RETRY, &mut self.rng),
             (Purpose::End, _) => {}
         }
-        self.registration_due(out);
+        self.handle_registration_timer(out);
     }
 
     /// The key-value service answers again: what failed meanwhile is tried again.
@@ -161,14 +166,14 @@
         self.registration
             .lease
             .expedite(self.now, Span::ZERO, &mut self.rng);
-        self.registration_due(out);
+        self.handle_registration_timer(out);
     }
 
     /// Takes the entry away, for a graceful stop: nobody has to wait for the end of its lease.
     pub(crate) fn deregister(&mut self, out: &mut Effects) {
         if let Some(lease) = self.registration.lease.id() {
             self.registration.lease.drop_it();
-            self.registration_call(Purpose::End, Op::End(lease), out);
+            self.registration_call(Purpose::End, KvOperation::RevokeLease(lease), out);
         }
     }
 
@@ -183,14 +188,18 @@
         let Some(lease) = self.registration.lease.id() else {
             return;
         };
-        let fact = Fact::Member(self.member());
-        let change = own(Subject::Member(self.settings.vm.clone()), fact);
-        self.registration_call(Purpose::Write, Op::Put(change, lease, Vec::new()), out);
+        let fact = EntryValue::Member(self.member());
+        let change = proposed_change(EntryKey::Member(self.settings.vm.clone()), fact);
+        self.registration_call(
+            Purpose::Write,
+            KvOperation::Put(change, lease, Vec::new()),
+            out,
+        );
     }
 
-    fn registration_call(&mut self, purpose: Purpose, op: Op, out: &mut Effects) {
+    fn registration_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
         let now = self.now;
-        let id = self.store(op, out);
+        let id = self.call_kv(op, out);
         self.registration.calls.insert(id, (purpose, now));
     }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -13,7 +13,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run any number of times.
     Safe,
     /// Runs at most once.
@@ -24,7 +24,7 @@
     Resumable,
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request that may have run can be sent again.
     #[must_use]
     pub const fn idempotent(self) -> bool {
@@ -57,7 +57,7 @@
     /// The path prefix, with a slash at both ends.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time that a request is kept waiting.
     pub timeout: Span,
     /// The time within which an answer (its first event) is of full use.
@@ -65,7 +65,7 @@
     /// The longest pause between two events of a stream that is still in time; zero where none is told.
     pub pause: Span,
     /// How long callers wait for the first event of a stream; the timeout for other kinds.
-    pub patience: Span,
+    pub caller_timeout: Span,
     /// The rank, 0 first.
     pub priority: u8,
     /// Whether its requests need no key.
@@ -91,7 +91,7 @@
 
 /// What the engines of a service hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Engine {
+pub struct EngineSpec {
     /// Requests in one batch.
     pub batch: u32,
     /// Tokens that the memory holds.
@@ -108,16 +108,16 @@
 
 /// A service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Application {
+pub struct ServiceConfig {
     /// Its name.
     pub name: Service,
     /// What its engines hold; none for a plain service.
-    pub engine: Option<Engine>,
+    pub engine: Option<EngineSpec>,
 }
 
 /// What a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct HttpLimits {
     /// The longest head in bytes.
     pub head: usize,
     /// The longest body in bytes.
@@ -128,7 +128,7 @@
     pub idle_time: Span,
 }
 
-impl Default for Limits {
+impl Default for HttpLimits {
     /// What holds before the first configuration is known: the usual figures of HTTP servers.
     fn default() -> Self {
         Self {
@@ -148,25 +148,25 @@
     /// The routes.
     pub routes: Vec<Arc<Route>>,
     /// The services.
-    pub services: Vec<Arc<Application>>,
+    pub services: Vec<Arc<ServiceConfig>>,
     /// What callers may send.
-    pub limits: Limits,
+    pub limits: HttpLimits,
     /// The client accounts; none where requests need no key.
     pub accounts: Option<Vec<Arc<Account>>>,
 }
 
 /// Finds a request's route: the first in the order of prefixes from the longest to the shortest that matches.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct RouteIndex {
     /// The routes of each host, longest prefix first.
     hosts: FxHashMap<String, Vec<Arc<Route>>>,
     /// The services by name.
-    services: FxHashMap<Service, Arc<Application>>,
+    services: FxHashMap<Service, Arc<ServiceConfig>>,
     /// The client accounts by key.
     accounts: Table,
 }
 
-impl Index {
+impl RouteIndex {
     /// The index of a configuration.
     #[must_use]
     pub fn new(config: &Config) -> Self {
@@ -205,12 +205,12 @@
 
     /// A service by its name.
     #[must_use]
-    pub fn service(&self, name: &str) -> Option<&Arc<Application>> {
+    pub fn service(&self, name: &str) -> Option<&Arc<ServiceConfig>> {
         self.services.get(name)
     }
 
     /// The services that have engines.
-    pub fn engines(&self) -> impl Iterator<Item = &Arc<Application>> {
+    pub fn engines(&self) -> impl Iterator<Item = &Arc<ServiceConfig>> {
         self.services.values().filter(|s| s.engine.is_some())
     }
 }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::account::Tokens;
-use crate::account::key::Key;
-use crate::cluster::fact::{Base, Change, Revision};
-use crate::effect::{OpId, OrderId};
+use crate::account::key::AccountKey;
+use crate::cluster::snapshot::{Change, ResidentModel, Revision};
+use crate::effect::{KvOperationId, OrderId};
 use crate::message::Message;
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Notice;
@@ -24,22 +24,22 @@
 
 /// What a request asks an engine for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct InferenceSpec {
     /// The base model.
     pub model: Arc<str>,
     /// The adapter of it, where one is named.
     pub adapter: Option<Arc<str>>,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The largest number of tokens asked for.
-    pub output: u32,
+    pub max_output_tokens: u32,
     /// The parts of the prompt, in order.
-    pub parts: Arc<[Part]>,
+    pub prompt_parts: Arc<[PromptPart]>,
 }
 
 /// A part of a prompt. Requests share parts; the last one belongs to the request itself or to its session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct PromptPart {
     /// Its id, the same wherever the same text stands.
     pub id: u64,
     /// Its tokens.
@@ -48,7 +48,7 @@
 
 /// A caller's request, without its body.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct CallerRequest {
     /// The caller's own id of it.
     pub id: Arc<str>,
     /// The host that it names.
@@ -56,11 +56,11 @@
     /// Its path.
     pub path: String,
     /// How long the caller waits.
-    pub patience: Option<Span>,
+    pub caller_timeout: Option<Span>,
     /// What it asks an engine for; none for a plain service.
-    pub work: Option<Work>,
+    pub work: Option<InferenceSpec>,
     /// The key that it bears; none where it bears none, several, or one that can't be any.
-    pub key: Option<Key>,
+    pub key: Option<AccountKey>,
     /// The tokens that it names.
     pub tokens: Option<Tokens>,
     /// What it has in common with others that ask the same.
@@ -69,7 +69,7 @@
 
 /// Whether a request has run at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ran {
+pub enum Execution {
     /// It has not and will not: no byte was sent, or the server says so.
     No,
     /// It may have.
@@ -80,7 +80,7 @@
 
 /// Why a server did not answer a request well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum FailureCause {
     /// No connection could be made.
     Unreachable,
     /// The connection broke.
@@ -99,7 +99,7 @@
 
 /// How an order came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
     /// What it asks for holds already.
@@ -122,9 +122,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The base models and their adapters.
-    pub models: Vec<Base>,
+    pub models: Vec<ResidentModel>,
     /// Adapters on their way to it: base model, adapter, version.
-    pub coming: Vec<(Arc<str>, Arc<str>, u64)>,
+    pub loading: Vec<(Arc<str>, Arc<str>, u64)>,
     /// Whether an order on a base model is in progress.
     pub busy: bool,
     /// Orders accepted.
@@ -135,7 +135,7 @@
 
 /// Whether a server takes connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum ProbeResult {
     /// It does.
     Listens,
     /// Nothing listens at its address.
@@ -146,7 +146,7 @@
 
 /// How a call of the key-value service came out.
 #[derive(Clone, Debug)]
-pub enum Outcome {
+pub enum KvOutcome {
     /// Items listed, and the revision of the first page.
     Listed(Vec<Change>, Revision),
     /// Changes after the revision asked for, and the revision to go on from.
@@ -171,7 +171,7 @@
 
 /// How a link to another VM failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum LinkFault {
     /// It could not be made.
     Unreachable,
     /// It broke.
@@ -185,34 +185,34 @@
 pub enum Event {
     /// The gateway begins.
     Start,
-    /// A time asked for by [`crate::Gateway::wake`] has come.
+    /// A time asked for by [`crate::Gateway::next_wakeup`] has come.
     Tick,
     /// A caller's request has been read.
-    Arrived(RequestId, Box<Call>),
+    RequestArrived(RequestId, Box<CallerRequest>),
     /// The caller has left.
-    Gone(RequestId),
+    CallerLeft(RequestId),
     /// The first piece of an answer has come.
-    Begun(RequestId),
+    AnswerStarted(RequestId),
     /// The answer is complete, with the longest pause between two pieces of it.
-    Completed(RequestId, Span),
+    AnswerCompleted(RequestId, Span),
     /// The server did not answer well.
-    Failed(RequestId, Ran, Cause),
+    AttemptFailed(RequestId, Execution, FailureCause),
     /// An order came back.
-    Ordered(OrderId, Ordered),
+    OrderAnswered(OrderId, OrderOutcome),
     /// An answer says something of its server, or says no more what an earlier one did.
-    Noticed(Server, Notice),
+    NoticeReceived(Server, Notice),
     /// A server's report, or none where it gave none.
-    Reported(Server, Option<Report>),
+    ReportReceived(Server, Option<Report>),
     /// A server was asked whether it takes connections.
-    Probed(Server, Presence),
+    Probed(Server, ProbeResult),
     /// A call of the key-value service came back.
-    Store(OpId, Outcome),
+    KvAnswered(KvOperationId, KvOutcome),
     /// A message from another VM.
-    Peer(Vm, Message),
+    PeerMessage(Vm, Message),
     /// A link to another VM could not be made or broke.
-    PeerDown(SocketAddr, Fault),
+    PeerDown(SocketAddr, LinkFault),
     /// The settings file was read again: its figures, or why it can't be used.
-    Reloaded(Result<Box<Tuning>, String>),
+    SettingsReloaded(Result<Box<Tuning>, String>),
     /// The process is to stop.
     Stop,
 }
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -6,22 +6,22 @@
 use std::sync::Arc;
 
 use crate::account::Tokens;
-use crate::account::quota::{Draw, Grant};
-use crate::cluster::fact::{Change, Member, Resident, Revision, Version};
-use crate::event::{Cause, Ran, RequestId, Work};
+use crate::account::quota::{TokenGrant, TokenRequest};
+use crate::cluster::snapshot::{Change, Member, Resident, Revision, Version};
+use crate::event::{Execution, FailureCause, InferenceSpec, RequestId};
 use crate::request::fingerprint::Fingerprint;
 use crate::request::notice::Rate;
-use crate::request::quarantine::{Standing, Strike};
+use crate::request::quarantine::{CrashReport, QuarantineStatus};
 
 /// A request that wants a place at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct PlacementRequest {
     /// Its number on the VM that asks.
     pub request: RequestId,
     /// The caller's id of it, for the log.
     pub id: Arc<str>,
     /// What it asks for.
-    pub work: Work,
+    pub work: InferenceSpec,
     /// How long it has waited already.
     pub waited: Span,
     /// The time within which its first event is of full use, from its arrival.
@@ -44,12 +44,12 @@
     /// Where it runs.
     pub server: Server,
     /// What it asks for.
-    pub work: Work,
+    pub work: InferenceSpec,
 }
 
 /// What one engine holds, as its scheduler believes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct EngineResidents {
     /// The engine.
     pub server: Server,
     /// The adapters that can be used there.
@@ -75,63 +75,63 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
     /// Its first event came.
-    Begun,
+    AnswerStarted,
     /// It is over.
-    Over,
+    Finished,
     /// Its server failed it.
-    Failed(Ran, Cause),
+    Failed(Execution, FailureCause),
 }
 
 /// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// To the scheduler: requests that want a place.
-    Want(Service, Want),
+    PlacementRequest(Service, PlacementRequest),
     /// To the scheduler: a request is no longer waited for, or went on.
     Progress(Service, RequestId, Progress),
     /// To a new scheduler: where this VM is, and all that runs and waits on it, in place of all said before.
-    Hello(Service, Member, Vec<Running>, Vec<Want>),
+    Resync(Service, Member, Vec<Running>, Vec<PlacementRequest>),
     /// From the scheduler, under its fencing number: where a request goes.
-    Place(Service, u64, RequestId, Server, Option<Version>),
+    Placement(Service, u64, RequestId, Server, Option<Version>),
     /// From the scheduler: a request can't be served in time; when to come back.
-    Refuse(Service, u64, RequestId, Span),
+    PlacementRefused(Service, u64, RequestId, Span),
     /// From the scheduler to one VM of each availability zone: what each engine holds, for the time without a scheduler.
-    Residents(Service, u64, Vec<Holding>),
+    ResidentAdapters(Service, u64, Vec<EngineResidents>),
     /// From the VM that tells its availability zone: what the scheduler under a fencing number told it of engines.
-    Passed(Service, u64, Vec<Holding>),
+    RelayedResidentAdapters(Service, u64, Vec<EngineResidents>),
     /// From the scheduler: it is there.
-    Alive(Service, u64),
+    SchedulerHeartbeat(Service, u64),
     /// From the scheduler, at a time of its own clock: will this VM take no leadership for a while?
     RequestLeaseVote(Service, u64, Instant),
     /// To the scheduler that asked so at a time of its clock: it will take none.
     LeaseVote(Service, u64, Instant),
     /// This VM, which is there, knows all changes of the key-value service up to the revision, and wants to be told of
     /// later ones for a while.
-    Follow(Member, Revision),
+    Subscribe(Member, Revision),
     /// Changes of the key-value service.
     Replicate(Replication),
     /// To a VM that counts them: servers ended while they had these requests.
-    Struck(Vec<Strike>),
+    CrashReports(Vec<CrashReport>),
     /// What is known of requests that servers have ended under.
-    Standings(Vec<(Fingerprint, Standing)>),
+    QuarantineStatuses(Vec<(Fingerprint, QuarantineStatus)>),
     /// To the VM that keeps the pool of tokens: a VM runs short.
-    Draw(Draw),
+    TokenRequest(TokenRequest),
     /// From the VM that keeps the pool: the answer to a draw.
-    Grant(Grant),
+    TokenGrant(TokenGrant),
     /// From the VM that keeps the pool: a collection with its number, for these accounts.
-    Collect(u64, Vec<Tenant>),
+    CollectTokens(u64, Vec<Tenant>),
     /// To the VM that keeps the pool: what this VM does not need, in answer to a collection.
-    Deposit(u64, Vec<(Tenant, Tokens)>),
+    SurplusTokens(u64, Vec<(Tenant, Tokens)>),
     /// A server names a limit to the requests a second that it takes from all VMs together, or none any more.
-    Limit(Server, Option<Rate>),
+    ServerRateLimit(Server, Option<Rate>),
     /// A server is leaving, as this start of it says.
-    Leaving(Server, Option<Incarnation>),
+    ServerLeaving(Server, Option<Incarnation>),
     /// To the scheduler: a server has asked the sender for so much rest.
-    Rest(Server, Span),
+    ServerCooldown(Server, Span),
     /// To the VM that counts what a server is sent: may this request go there?
-    Permit(RequestId, Server),
+    SendPermitRequest(RequestId, Server),
     /// From that VM: it may, or when to ask again.
-    Permitted(RequestId, Server, Result<(), Span>),
+    SendPermitReply(RequestId, Server, Result<(), Span>),
 }
 
 impl Message {
@@ -139,29 +139,29 @@
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
-            Self::Want(..) => "want",
+            Self::PlacementRequest(..) => "want",
             Self::Progress(..) => "progress",
-            Self::Hello(..) => "hello",
-            Self::Place(..) => "place",
-            Self::Refuse(..) => "refuse",
-            Self::Residents(..) => "residents",
-            Self::Passed(..) => "passed",
-            Self::Alive(..) => "alive",
+            Self::Resync(..) => "hello",
+            Self::Placement(..) => "place",
+            Self::PlacementRefused(..) => "refuse",
+            Self::ResidentAdapters(..) => "residents",
+            Self::RelayedResidentAdapters(..) => "passed",
+            Self::SchedulerHeartbeat(..) => "alive",
             Self::RequestLeaseVote(..) => "request_lease_vote",
             Self::LeaseVote(..) => "lease_vote",
-            Self::Follow(..) => "follow",
+            Self::Subscribe(..) => "follow",
             Self::Replicate(_) => "replicate",
-            Self::Struck(_) => "struck",
-            Self::Standings(_) => "standings",
-            Self::Draw(_) => "draw",
-            Self::Grant(_) => "grant",
-            Self::Collect(..) => "collect",
-            Self::Deposit(..) => "deposit",
-            Self::Limit(..) => "limit",
-            Self::Leaving(..) => "leaving",
-            Self::Rest(..) => "rest",
-            Self::Permit(..) => "permit",
-            Self::Permitted(..) => "permitted",
+            Self::CrashReports(_) => "struck",
+            Self::QuarantineStatuses(_) => "standings",
+            Self::TokenRequest(_) => "draw",
+            Self::TokenGrant(_) => "grant",
+            Self::CollectTokens(..) => "collect",
+            Self::SurplusTokens(..) => "deposit",
+            Self::ServerRateLimit(..) => "limit",
+            Self::ServerLeaving(..) => "leaving",
+            Self::ServerCooldown(..) => "rest",
+            Self::SendPermitRequest(..) => "permit",
+            Self::SendPermitReply(..) => "permitted",
         }
     }
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -13,24 +13,24 @@
 
 use crate::account::quota;
 use crate::cluster::apply;
-use crate::cluster::fact::{Member, Table};
-use crate::cluster::follow;
 use crate::cluster::leadership;
 use crate::cluster::lease_vote;
 use crate::cluster::membership::Membership;
 use crate::cluster::registration;
+use crate::cluster::snapshot::{Member, Snapshot};
+use crate::cluster::watch;
 use crate::config::startup_queue;
-use crate::config::{Config, Index, Limits};
-use crate::effect::{Effect, Effects, Op, OpId, Reach};
+use crate::config::{Config, HttpLimits, RouteIndex};
+use crate::effect::{Effect, Effects, KvOperation, KvOperationId, Locality};
 use crate::event::{Event, RequestId};
 use crate::feature::Feature;
-use crate::measure;
 use crate::message::Message;
-use crate::request::budget::Budget;
-use crate::request::flow::Flow;
-use crate::request::load_balancer::Row;
+use crate::metrics;
+use crate::request::budget::RetryBudget;
+use crate::request::load_balancer::ServerState;
 use crate::request::notice;
 use crate::request::quarantine;
+use crate::request::state::RequestState;
 use crate::scheduler::Scheduler;
 use crate::scheduler::client;
 use crate::settings::{Settings, Tuning};
@@ -46,21 +46,21 @@
     /// Its random numbers.
     pub(crate) rng: ChaCha8Rng,
     /// The facts of the key-value service.
-    pub(crate) facts: Table,
+    pub(crate) snapshot: Snapshot,
     /// The configuration in force.
     pub(crate) config: Option<Arc<Config>>,
     /// Its index.
-    pub(crate) index: Index,
+    pub(crate) index: RouteIndex,
     /// The other entry VMs.
     pub(crate) membership: Membership,
     /// The backend servers that take work, and what this VM knows of them.
-    pub(crate) servers: BTreeMap<Server, Row>,
+    pub(crate) servers: BTreeMap<Server, ServerState>,
     /// What backend servers said of themselves.
-    pub(crate) notices: notice::Table,
+    pub(crate) notices: notice::ServerNotices,
     /// The requests of this VM's callers.
-    pub(crate) flows: FxHashMap<RequestId, Flow>,
+    pub(crate) in_flight: FxHashMap<RequestId, RequestState>,
     /// The budgets of second sends.
-    pub(crate) budgets: BTreeMap<Service, Budget>,
+    pub(crate) retry_budgets: BTreeMap<Service, RetryBudget>,
     /// What this VM knows of the schedulers.
     pub(crate) scheduler_clients: BTreeMap<Service, client::State>,
     /// The schedulers that run on this VM.
@@ -72,7 +72,7 @@
     /// Lease votes given and had.
     pub(crate) votes: lease_vote::State,
     /// How the key-value service is followed.
-    pub(crate) follow: follow::State,
+    pub(crate) watch: watch::State,
     /// What is noted beside the facts.
     pub(crate) applied: apply::State,
     /// Requests that crash servers.
@@ -88,7 +88,7 @@
     /// Whether the process is to stop.
     pub(crate) stopping: bool,
     /// Whether a scheduler ran in the last step.
-    pub(crate) ran: bool,
+    pub(crate) scheduler_ran: bool,
 }
 
 impl Gateway {
@@ -98,20 +98,20 @@
         Self {
             now: Instant::default(),
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
-            facts: Table::default(),
+            snapshot: Snapshot::default(),
             config: None,
-            index: Index::default(),
+            index: RouteIndex::default(),
             membership: Membership::default(),
             servers: BTreeMap::new(),
-            notices: notice::Table::default(),
-            flows: FxHashMap::default(),
-            budgets: BTreeMap::new(),
+            notices: notice::ServerNotices::default(),
+            in_flight: FxHashMap::default(),
+            retry_budgets: BTreeMap::new(),
             scheduler_clients: BTreeMap::new(),
             schedulers: BTreeMap::new(),
             registration: registration::State::default(),
             leaderships: leadership::State::default(),
             votes: lease_vote::State::default(),
-            follow: follow::State::default(),
+            watch: watch::State::default(),
             applied: apply::State::default(),
             quarantine: quarantine::State::default(),
             quota: quota::State::default(),
@@ -119,7 +119,7 @@
             timers: Timers::default(),
             last_id: 0,
             stopping: false,
-            ran: false,
+            scheduler_ran: false,
             settings,
         }
     }
@@ -127,57 +127,57 @@
     /// Handles one event at the time `now` of the VM's monotonic clock, and appends what is to be done.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Effects) {
         self.now = self.now.max(now);
-        self.ran = false;
+        self.scheduler_ran = false;
         self.handle(event, out);
         self.release_startup_queue(out);
         self.run_timers(out);
         self.run_schedulers(out);
     }
 
-    /// Whether a scheduler ran in the last step, so that its length is to be told to [`Self::took`].
+    /// Whether a scheduler ran in the last step, so that its length is to be told to [`Self::record_step_duration`].
     #[must_use]
-    pub fn ran(&self) -> bool {
-        self.ran
+    pub fn scheduler_ran(&self) -> bool {
+        self.scheduler_ran
     }
 
     /// The last step, in which a scheduler ran, took so long, with what was done for it: schedulers run no more often than their
     /// VM can bear.
-    pub fn took(&mut self, span: Span) {
+    pub fn record_step_duration(&mut self, span: Span) {
         for scheduler in self.schedulers.values_mut() {
-            scheduler.took(span);
+            scheduler.record_run_duration(span);
         }
     }
 
     /// When the next [`Event::Tick`] is due.
     #[must_use]
-    pub fn wake(&self) -> Instant {
+    pub fn next_wakeup(&self) -> Instant {
         self.timers.next()
     }
 
     /// Whether new connections are welcome.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.config.is_some() && !self.stopping
     }
 
     /// What callers may send.
     #[must_use]
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> HttpLimits {
         self.config
             .as_ref()
-            .map_or_else(Limits::default, |c| c.limits)
+            .map_or_else(HttpLimits::default, |c| c.limits)
     }
 
     /// The version of the configuration in force, 0 where none is known.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
 
     /// The requests in progress.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.flows.len() + self.startup_queue.len()
+    pub fn open_requests(&self) -> usize {
+        self.in_flight.len() + self.startup_queue.len()
     }
 
     /// Everything that does not hold together, as readable text; empty where all is well.
@@ -199,10 +199,14 @@
         match self.membership.address(to) {
             Some(address) => {
                 let near = self.membership.zone(to) == Some(&self.settings.zone);
-                let reach = if near { Reach::Zone } else { Reach::Beyond };
-                out.push(Effect::Peer(address, reach, message));
+                let reach = if near {
+                    Locality::SameZone
+                } else {
+                    Locality::CrossZone
+                };
+                out.push(Effect::SendMessage(address, reach, message));
             }
-            None => measure::plain(out, Figure::Dropped, "peer_unknown"),
+            None => metrics::count_global(out, Figure::Dropped, "peer_unknown"),
         }
     }
 
@@ -251,10 +255,10 @@
         }
     }
 
-    pub(crate) fn store(&mut self, op: Op, out: &mut Effects) -> OpId {
-        measure::plain(out, Figure::PlatformCalls, op.name());
+    pub(crate) fn call_kv(&mut self, op: KvOperation, out: &mut Effects) -> KvOperationId {
+        metrics::count_global(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
-        out.push(Effect::Store(id, op));
+        out.push(Effect::KvCall(id, op));
         id
     }
 
@@ -266,19 +270,23 @@
         match event {
             Event::Start => self.start(out),
             Event::Tick => {}
-            Event::Arrived(request, call) => self.arrived(request, *call, out),
-            Event::Gone(request) => self.gone(request, out),
-            Event::Begun(request) => self.begun(request, out),
-            Event::Completed(request, pause) => self.completed(request, pause, out),
-            Event::Failed(request, ran, cause) => self.failed(request, ran, cause, out),
-            Event::Ordered(order, outcome) => self.ordered(order, outcome, out),
-            Event::Noticed(server, notice) => self.receive_notice(&server, notice, out),
-            Event::Reported(server, report) => self.reported(&server, report.as_ref()),
-            Event::Probed(server, presence) => self.probed(&server, presence, out),
-            Event::Store(op, outcome) => self.answered(op, outcome, out),
-            Event::Peer(from, message) => self.heard(&from, message, out),
+            Event::RequestArrived(request, call) => self.handle_request(request, *call, out),
+            Event::CallerLeft(request) => self.handle_caller_left(request, out),
+            Event::AnswerStarted(request) => self.handle_answer_started(request, out),
+            Event::AnswerCompleted(request, pause) => {
+                self.handle_answer_completed(request, pause, out);
+            }
+            Event::AttemptFailed(request, ran, cause) => {
+                self.handle_attempt_failed(request, ran, cause, out);
+            }
+            Event::OrderAnswered(order, outcome) => self.handle_order_outcome(order, outcome, out),
+            Event::NoticeReceived(server, notice) => self.handle_notice(&server, notice, out),
+            Event::ReportReceived(server, report) => self.handle_report(&server, report.as_ref()),
+            Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
+            Event::KvAnswered(op, outcome) => self.answered(op, outcome, out),
+            Event::PeerMessage(from, message) => self.heard(&from, message, out),
             Event::PeerDown(address, fault) => self.peer_down(address, fault, out),
-            Event::Reloaded(tuning) => self.reloaded(tuning, out),
+            Event::SettingsReloaded(tuning) => self.reloaded(tuning, out),
             Event::Stop => self.stop(out),
         }
     }
@@ -286,89 +294,99 @@
     fn start(&mut self, out: &mut Effects) {
         self.startup_queue_start();
         self.quota_start();
-        self.follow_start(out);
-        self.leadership_start();
-        self.registration_due(out);
+        self.start_watching(out);
+        self.start_candidacy_delay();
+        self.handle_registration_timer(out);
     }
 
-    fn answered(&mut self, op: OpId, outcome: crate::event::Outcome, out: &mut Effects) {
-        if self.follow.op == Some(op) {
-            self.followed(outcome, out);
+    fn answered(&mut self, op: KvOperationId, outcome: crate::event::KvOutcome, out: &mut Effects) {
+        if self.watch.op == Some(op) {
+            self.handle_watch_outcome(outcome, out);
         } else if self.registration.owns(op) {
-            self.registration_answered(op, outcome, out);
+            self.handle_registration_outcome(op, outcome, out);
         } else if self.quarantine.owns(op) {
-            self.recorded(outcome, out);
+            self.handle_quarantine_outcome(outcome, out);
         } else {
-            self.leadership_answered(op, outcome, out);
+            self.handle_leadership_outcome(op, outcome, out);
         }
     }
 
     fn heard(&mut self, from: &Vm, message: Message, out: &mut Effects) {
-        self.membership.heard(from, self.now);
+        self.membership.record_heard(from, self.now);
         match message {
-            Message::Follow(member, revision) => {
-                self.membership.introduced(from, &member);
-                self.follow_asked(from, revision, out);
+            Message::Subscribe(member, revision) => {
+                self.membership.record_member(from, &member);
+                self.handle_subscribe(from, revision, out);
             }
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
-            Message::Want(service, want) => self.wanted(&service, from, want),
+            Message::PlacementRequest(service, want) => {
+                self.handle_placement_request(&service, from, want);
+            }
             Message::Progress(service, request, progress) => {
-                self.progressed(&service, from, request, progress);
+                self.handle_progress(&service, from, request, progress);
             }
-            Message::Hello(service, member, running, wants) => {
-                self.membership.introduced(from, &member);
-                self.introduced(&service, from, &running, wants);
+            Message::Resync(service, member, running, wants) => {
+                self.membership.record_member(from, &member);
+                self.handle_resync(&service, from, &running, wants);
             }
-            Message::Place(service, fence, request, server, version) => {
-                if self.follows(&service, fence, from, out) {
-                    self.keep_place(request, &server, version);
-                    self.placed(request, &server, version, out);
+            Message::Placement(service, fence, request, server, version) => {
+                if self.accept_scheduler_message(&service, fence, from, out) {
+                    self.record_placement(request, &server, version);
+                    self.handle_placement(request, &server, version, out);
                 }
             }
-            Message::Refuse(service, fence, request, after) => {
-                if self.follows(&service, fence, from, out) {
-                    self.turned_away(request, after, out);
+            Message::PlacementRefused(service, fence, request, after) => {
+                if self.accept_scheduler_message(&service, fence, from, out) {
+                    self.handle_placement_refused(request, after, out);
                 }
             }
-            Message::Alive(service, fence) => {
-                self.follows(&service, fence, from, out);
+            Message::SchedulerHeartbeat(service, fence) => {
+                self.accept_scheduler_message(&service, fence, from, out);
             }
             Message::RequestLeaseVote(service, fence, asked) => {
-                if self.follows(&service, fence, from, out) {
-                    self.vote_requested(&service, fence, asked, from, out);
+                if self.accept_scheduler_message(&service, fence, from, out) {
+                    self.handle_vote_request(&service, fence, asked, from, out);
                 }
             }
             Message::LeaseVote(service, fence, asked) => {
-                self.voted(&service, fence, asked, from);
+                self.handle_vote(&service, fence, asked, from);
             }
-            Message::Residents(service, fence, residents) => {
-                if self.follows(&service, fence, from, out) {
-                    self.pass_residents(&service, fence, &residents, out);
-                    self.keep_residents(&service, residents);
+            Message::ResidentAdapters(service, fence, residents) => {
+                if self.accept_scheduler_message(&service, fence, from, out) {
+                    self.relay_residents(&service, fence, &residents, out);
+                    self.record_residents(&service, residents);
                 }
             }
-            Message::Struck(strikes) => self.receive_strikes(from, &strikes, out),
-            Message::Standings(told) => self.standings(told, out),
-            Message::Limit(server, limit) => self.set_limit(from, &server, limit, out),
-            Message::Leaving(server, start) => {
+            Message::CrashReports(strikes) => self.handle_crash_reports(from, &strikes, out),
+            Message::QuarantineStatuses(told) => self.handle_quarantine_statuses(told, out),
+            Message::ServerRateLimit(server, limit) => self.set_limit(from, &server, limit, out),
+            Message::ServerLeaving(server, start) => {
                 self.mark_leaving(from, &server, start, out);
             }
-            Message::Rest(server, span) => self.hold_places(from, &server, span),
-            Message::Permit(request, server) => self.permit_asked(from, request, server, out),
-            Message::Permitted(request, server, answer) => {
-                self.permitted(request, &server, answer, out);
+            Message::ServerCooldown(server, span) => {
+                self.handle_server_cooldown(from, &server, span);
+            }
+            Message::SendPermitRequest(request, server) => {
+                self.handle_permit_request(from, request, server, out);
+            }
+            Message::SendPermitReply(request, server, answer) => {
+                self.handle_permit_reply(request, &server, answer, out);
+            }
+            Message::TokenRequest(draw) => self.drawn(from, draw, out),
+            Message::TokenGrant(grant) => self.granted(&grant, out),
+            Message::CollectTokens(number, accounts) => {
+                self.collected(from, number, &accounts, out);
+            }
+            Message::SurplusTokens(number, deposits) => {
+                self.deposited(from, number, &deposits, out);
             }
-            Message::Draw(draw) => self.drawn(from, draw, out),
-            Message::Grant(grant) => self.granted(&grant, out),
-            Message::Collect(number, accounts) => self.collected(from, number, &accounts, out),
-            Message::Deposit(number, deposits) => self.deposited(from, number, &deposits, out),
-            Message::Passed(service, fence, residents) => {
+            Message::RelayedResidentAdapters(service, fence, residents) => {
                 let holder = self
                     .scheduler_clients
                     .get(&service)
                     .map(|client| client.fence);
                 if holder == Some(fence) {
-                    self.keep_residents(&service, residents);
+                    self.record_residents(&service, residents);
                 }
             }
         }
@@ -387,7 +405,11 @@
 
     fn stop(&mut self, out: &mut Effects) {
         self.stopping = true;
-        Self::log(out, Code::Draining, format!("open={}", self.open()));
+        Self::log(
+            out,
+            Code::Draining,
+            format!("open={}", self.open_requests()),
+        );
         self.resign_all(out);
         self.deregister(out);
     }
@@ -395,13 +417,13 @@
     fn run_timers(&mut self, out: &mut Effects) {
         while let Some(timer) = self.timers.due(self.now) {
             match timer {
-                Timer::Flow(request) => self.flow_due(request, out),
-                Timer::Registration => self.registration_due(out),
-                Timer::Leadership => self.leadership_due(out),
-                Timer::Follow => self.follow_due(out),
-                Timer::StartupQueue => self.startup_queue_due(out),
-                Timer::Quarantine => self.records_due(out),
-                Timer::Quota => self.quota_due(out),
+                Timer::Request(request) => self.handle_request_timer(request, out),
+                Timer::Registration => self.handle_registration_timer(out),
+                Timer::Leadership => self.handle_leadership_timer(out),
+                Timer::Watch => self.handle_watch_timer(out),
+                Timer::StartupQueue => self.handle_startup_queue_timer(out),
+                Timer::Quarantine => self.handle_quarantine_timer(out),
+                Timer::Quota => self.handle_quota_timer(out),
                 // The schedulers run after each step, where one is due.
                 Timer::Scheduler(_) => {}
             }
--- a/crates/gateway/src/request/notice/rest.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use crate::effect::Effects;
-use crate::event::{Cause, Ran, RequestId};
+use crate::event::{Execution, FailureCause, RequestId};
 use crate::message::{Message, Progress};
 use crate::node::Gateway;
 
@@ -15,7 +15,7 @@
     pub(super) fn report_rest(&mut self, server: &Server, span: Span, out: &mut Effects) {
         let until = self.now + span;
         let row = self.notices.rows.entry(server.clone()).or_default();
-        row.rests = row.rests.max(until);
+        row.cooldown_until = row.cooldown_until.max(until);
         Self::log(
             out,
             Code::ServerNotice,
@@ -30,33 +30,37 @@
             return;
         };
         let me = self.settings.vm.clone();
-        match self.scheduler_of(&service) {
-            Some(vm) if vm == me => self.hold_places(&me, server, span),
-            Some(vm) => self.send(&vm, Message::Rest(server.clone(), span), out),
+        match self.scheduler_vm(&service) {
+            Some(vm) if vm == me => self.handle_server_cooldown(&me, server, span),
+            Some(vm) => self.send(&vm, Message::ServerCooldown(server.clone(), span), out),
             None => {}
         }
     }
 
     /// A server has asked a VM for rest.
-    pub(crate) fn hold_places(&mut self, vm: &Vm, server: &Server, span: Span) {
+    pub(crate) fn handle_server_cooldown(&mut self, vm: &Vm, server: &Server, span: Span) {
         let service = self.service_of(server);
         if let Some(scheduler) = service.and_then(|service| self.schedulers.get_mut(&service)) {
-            scheduler.rest(self.now, vm, server, span);
+            scheduler.start_cooldown(self.now, vm, server, span);
         }
     }
 
     /// Declines the place that the scheduler found for a request, and tells it why once more: it may not have heard. The request goes
     /// elsewhere, as the scheduler may think otherwise of the server for a while.
     pub(crate) fn decline_place(&mut self, request: RequestId, server: &Server, out: &mut Effects) {
-        let rest = self.notices.rests(server).since(self.now);
-        if rest > Span::ZERO {
-            self.send_rest(server, rest, out);
+        let cooldown = self.notices.cooldown_until(server).since(self.now);
+        if cooldown > Span::ZERO {
+            self.send_rest(server, cooldown, out);
         }
-        if let Some(flow) = self.flows.get_mut(&request) {
-            flow.failed.push(server.clone());
+        if let Some(state) = self.in_flight.get_mut(&request) {
+            state.failed.push(server.clone());
         }
-        self.tell_progress(request, Progress::Failed(Ran::No, Cause::Declined), out);
-        self.ask_place(request, out);
+        self.report_progress(
+            request,
+            Progress::Failed(Execution::No, FailureCause::Declined),
+            out,
+        );
+        self.request_placement(request, out);
     }
 
     /// When callers may come back to a service all of whose servers are closed to this VM until a time. They are told times that differ.
@@ -66,11 +70,11 @@
     }
 }
 
-impl super::Table {
+impl super::ServerNotices {
     /// Until when a server wants nothing of this VM.
-    pub(crate) fn rests(&self, server: &Server) -> Instant {
+    pub(crate) fn cooldown_until(&self, server: &Server) -> Instant {
         self.rows
             .get(server)
-            .map_or_else(Instant::default, |row| row.rests)
+            .map_or_else(Instant::default, |row| row.cooldown_until)
     }
 }
--- a/crates/gateway/src/request/notice/limit.rs
+++ b/crates/gateway/src/request/notice/limit.rs
@@ -16,7 +16,11 @@
         self.set_limit(&me, server, limit, out);
         let counting = self.counting_vm(server);
         if counting != me {
-            self.send(&counting, Message::Limit(server.clone(), limit), out);
+            self.send(
+                &counting,
+                Message::ServerRateLimit(server.clone(), limit),
+                out,
+            );
         }
     }
 
@@ -34,13 +38,13 @@
         };
         let row = self.notices.rows.entry(server.clone()).or_default();
         let was = std::mem::replace(&mut row.limit, limit);
-        match (limit, &mut row.meter) {
-            (Some(rate), Some(meter)) => meter.renew(now, rate),
+        match (limit, &mut row.rate_limiter) {
+            (Some(rate), Some(rate_limiter)) => rate_limiter.set_rate(now, rate),
             (Some(_), None) => {}
-            (None, _) => (row.meter, row.closed) = (None, Instant::default()),
+            (None, _) => (row.rate_limiter, row.closed) = (None, Instant::default()),
         }
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.limit(now, server, limit);
+            scheduler.set_rate_limit(now, server, limit);
         }
         if limit != was {
             let named =
@@ -53,9 +57,9 @@
             Self::log(out, Code::ServerNotice, detail);
         }
         if limit.is_some() != was.is_some() {
-            out.push(Effect::Track(server.clone(), limit.is_some()));
+            out.push(Effect::TrackAnswers(server.clone(), limit.is_some()));
             if self.counting_vm(server) == self.settings.vm {
-                self.tell_all(&Message::Limit(server.clone(), limit), out);
+                self.broadcast(&Message::ServerRateLimit(server.clone(), limit), out);
             }
         }
     }
@@ -63,7 +67,7 @@
     /// The VM that counts what a server is sent.
     pub(super) fn counting_vm(&self, server: &Server) -> Vm {
         let service = self.service_of(server);
-        let scheduler = service.and_then(|service| self.scheduler_of(&service));
+        let scheduler = service.and_then(|service| self.scheduler_vm(&service));
         scheduler.unwrap_or_else(|| self.permit_issuer(server))
     }
 }
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -8,14 +8,14 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::Span;
 
-use super::meter::Meter;
-use crate::cluster::fact::Version;
+use super::rate_limiter::RateLimiter;
 use crate::cluster::membership;
+use crate::cluster::snapshot::Version;
 use crate::effect::Effects;
 use crate::event::RequestId;
 use crate::message::Message;
 use crate::node::Gateway;
-use crate::request::flow::State;
+use crate::request::state::Phase;
 use crate::timer::Timer;
 
 /// How long a permit is waited for: some round trips between availability zones.
@@ -26,7 +26,7 @@
 
 impl Gateway {
     /// Sends a request that no scheduler placed to a server, if that names a limit only by leave.
-    pub(crate) fn send_alone(
+    pub(crate) fn send_unscheduled(
         &mut self,
         request: RequestId,
         server: &Server,
@@ -38,10 +38,10 @@
             return;
         }
         let until = self.now + ANSWER;
-        let Some(flow) = self.flows.get_mut(&request) else {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        flow.state = State::Permit {
+        state.phase = Phase::Permit {
             server: server.clone(),
             version,
             until,
@@ -49,10 +49,10 @@
         let issuer = self.permit_issuer(server);
         if issuer == self.settings.vm {
             let answer = self.permit(server);
-            self.permitted(request, server, answer, out);
+            self.handle_permit_reply(request, server, answer, out);
         } else {
-            self.timers.set(until, Timer::Flow(request));
-            let message = Message::Permit(request, server.clone());
+            self.timers.set(until, Timer::Request(request));
+            let message = Message::SendPermitRequest(request, server.clone());
             self.send(&issuer, message, out);
         }
     }
@@ -61,12 +61,12 @@
     pub(crate) fn permit_issuer(&self, server: &Server) -> Vm {
         let me = &self.settings.vm;
         let vms = self.peers().chain([me]);
-        let first = vms.min_by_key(|vm| Reverse(membership::score(&(*vm, server))));
+        let first = vms.min_by_key(|vm| Reverse(membership::rendezvous_score(&(*vm, server))));
         first.unwrap_or(me).clone()
     }
 
     /// A VM asks for leave to send a request to a server.
-    pub(crate) fn permit_asked(
+    pub(crate) fn handle_permit_request(
         &mut self,
         from: &Vm,
         request: RequestId,
@@ -74,7 +74,7 @@
         out: &mut Effects,
     ) {
         let answer = self.permit(&server);
-        self.send(from, Message::Permitted(request, server, answer), out);
+        self.send(from, Message::SendPermitReply(request, server, answer), out);
     }
 
     /// Counts a request to a server that names a limit, or says when to ask again.
@@ -86,24 +86,26 @@
         let Some(limit) = row.limit else {
             return Ok(());
         };
-        let meter = row.meter.get_or_insert_with(|| Meter::new(now, limit));
-        if meter.take(now) {
+        let rate_limiter = row
+            .rate_limiter
+            .get_or_insert_with(|| RateLimiter::new(now, limit));
+        if rate_limiter.try_take(now) {
             Ok(())
         } else {
-            Err(meter.promise(now))
+            Err(rate_limiter.promise(now))
         }
     }
 
     /// A request may be sent to a server, or none of this VM may be before a time.
-    pub(crate) fn permitted(
+    pub(crate) fn handle_permit_reply(
         &mut self,
         request: RequestId,
         server: &Server,
         answer: Result<(), Span>,
         out: &mut Effects,
     ) {
-        let version = match self.flows.get(&request).map(|flow| &flow.state) {
-            Some(State::Permit {
+        let version = match self.in_flight.get(&request).map(|state| &state.phase) {
+            Some(Phase::Permit {
                 server: of,
                 version,
                 ..
@@ -113,21 +115,21 @@
         let listed = self.takes_work(server);
         match answer {
             Ok(()) if listed => self.send_to(request, server, version, out),
-            Ok(()) => self.seek(request, out),
+            Ok(()) => self.find_server(request, out),
             Err(after) => {
                 self.notices.close(server, self.now + after);
-                self.seek(request, out);
+                self.find_server(request, out);
             }
         }
     }
 
     /// Goes on with a request whose permit did not come in time.
     pub(crate) fn permit_due(&mut self, request: RequestId, out: &mut Effects) {
-        match self.flows.get(&request).map(|flow| &flow.state) {
-            Some(State::Permit { server, until, .. }) if *until <= self.now => {
+        match self.in_flight.get(&request).map(|state| &state.phase) {
+            Some(Phase::Permit { server, until, .. }) if *until <= self.now => {
                 let server = server.clone();
                 self.notices.close(&server, self.now + UNANSWERED);
-                self.seek(request, out);
+                self.find_server(request, out);
             }
             _ => {}
         }
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -5,11 +5,11 @@
 
 use dahliastile_core::time::{Instant, Span};
 
-use super::LENGTH;
-use crate::cluster::fact::{Fact, Revision, Subject, Way, own};
+use super::QUARANTINE_DURATION;
 use crate::cluster::lease::backoff;
-use crate::effect::{Effects, Op, OpId};
-use crate::event::{Lease, Outcome};
+use crate::cluster::snapshot::{Delivery, EntryKey, EntryValue, Revision, proposed_change};
+use crate::effect::{Effects, KvOperation, KvOperationId};
+use crate::event::{KvOutcome, Lease};
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
 use crate::timer::Timer;
@@ -55,7 +55,7 @@
     /// The lease, with when it was granted.
     lease: Option<(Lease, Instant)>,
     /// The call in progress.
-    call: Option<(OpId, Purpose)>,
+    call: Option<(KvOperationId, Purpose)>,
     /// Calls in a row that failed.
     failures: u32,
     /// Until when none is made after one that failed.
@@ -64,7 +64,7 @@
 
 impl State {
     /// Whether a call is one on records.
-    pub(crate) fn owns(&self, op: OpId) -> bool {
+    pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.call.is_some_and(|(id, _)| id == op)
     }
 
@@ -120,13 +120,13 @@
     fn set_goal(&mut self, fingerprint: Fingerprint, goal: Goal, at: Instant, out: &mut Effects) {
         let goals = &mut self.quarantine.records.goals;
         goals.insert(fingerprint, (goal, at));
-        self.records_due(out);
+        self.handle_quarantine_timer(out);
     }
 
     /// The revision of a request's record, where it is there.
     fn recorded_at(&self, fingerprint: Fingerprint) -> Option<Revision> {
-        let known = self.facts.get(&Subject::Quarantine(fingerprint));
-        let there = known.filter(|change| change.fact.is_some());
+        let known = self.snapshot.get(&EntryKey::Quarantine(fingerprint));
+        let there = known.filter(|change| change.value.is_some());
         there.map(|change| change.revision)
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Makes the next call on records that is due.
-    pub(crate) fn records_due(&mut self, out: &mut Effects) {
+    pub(crate) fn handle_quarantine_timer(&mut self, out: &mut Effects) {
         self.drop_goals();
         if let Some((fingerprint, goal)) = self.quarantine.records.due(self.now) {
             self.pursue(fingerprint, goal, out);
@@ -156,7 +156,7 @@
     }
 
     fn pursue(&mut self, fingerprint: Fingerprint, goal: Goal, out: &mut Effects) {
-        let subject = Subject::Quarantine(fingerprint);
+        let subject = EntryKey::Quarantine(fingerprint);
         let known = self.recorded_at(fingerprint);
         let lease = self.quarantine.records.lease(self.now);
         let purpose = Purpose::Record(fingerprint);
@@ -166,39 +166,43 @@
                 self.quarantine.records.goals.insert(fingerprint, again);
                 return;
             }
-            (Goal::Absent(_), Some(revision), _) => (purpose, Op::Remove(subject, revision)),
+            (Goal::Absent(_), Some(revision), _) => {
+                (purpose, KvOperation::Remove(subject, revision))
+            }
             (Goal::Present, _, Some(lease)) => {
-                let change = own(subject.clone(), Fact::Quarantine);
-                (purpose, Op::Put(change, lease, vec![(subject, 0)]))
+                let change = proposed_change(subject.clone(), EntryValue::Quarantine);
+                (purpose, KvOperation::Put(change, lease, vec![(subject, 0)]))
+            }
+            (Goal::Present, _, None) => {
+                (Purpose::Lease, KvOperation::GrantLease(QUARANTINE_DURATION))
             }
-            (Goal::Present, _, None) => (Purpose::Lease, Op::Grant(LENGTH)),
         };
-        let id = self.store(op, out);
+        let id = self.call_kv(op, out);
         self.quarantine.records.call = Some((id, purpose));
     }
 
     /// A call on records came back.
-    pub(crate) fn recorded(&mut self, outcome: Outcome, out: &mut Effects) {
+    pub(crate) fn handle_quarantine_outcome(&mut self, outcome: KvOutcome, out: &mut Effects) {
         let now = self.now;
         let records = &mut self.quarantine.records;
         let Some((_, purpose)) = records.call.take() else {
             return;
         };
         match (purpose, outcome) {
-            (Purpose::Lease, Outcome::Granted(lease, _)) => {
+            (Purpose::Lease, KvOutcome::Granted(lease, _)) => {
                 records.lease = Some((lease, now));
                 records.failures = 0;
             }
-            (Purpose::Record(fingerprint), Outcome::Written(_)) => {
+            (Purpose::Record(fingerprint), KvOutcome::Written(_)) => {
                 records.failures = 0;
                 records.written(fingerprint, now);
             }
-            (_, Outcome::Conflict(changes)) => {
+            (_, KvOutcome::Conflict(changes)) => {
                 records.pause = now + RETRY;
-                self.apply_changes(changes, Way::Told, false, out);
+                self.apply_changes(changes, Delivery::LatestOnly, false, out);
             }
             (_, outcome) => {
-                if matches!(outcome, Outcome::NoLease) {
+                if matches!(outcome, KvOutcome::NoLease) {
                     records.lease = None;
                 }
                 let pause = backoff(RETRY, RETRY_LONGEST, records.failures, &mut self.rng);
@@ -206,6 +210,6 @@
                 records.failures += 1;
             }
         }
-        self.records_due(out);
+        self.handle_quarantine_timer(out);
     }
 }
--- a/crates/gateway/src/request/flow.rs
+++ b/crates/gateway/src/request/state.rs
@@ -14,21 +14,21 @@
 use rand::Rng;
 
 use crate::account::{Account, Tokens};
-use crate::cluster::fact::Version;
-use crate::config::{Kind, Route, Target};
-use crate::effect::{Effect, Effects, Reason, Send, Verdict};
-use crate::event::{Call, RequestId};
-use crate::measure;
-use crate::message::{Progress, Want};
+use crate::cluster::snapshot::Version;
+use crate::config::{Route, RouteKind, Target};
+use crate::effect::{Attempt, Effect, Effects, NextStep, RefusalReason};
+use crate::event::{CallerRequest, RequestId};
+use crate::message::{PlacementRequest, Progress};
+use crate::metrics;
 use crate::node::Gateway;
 use crate::timer::Timer;
 
 use self::failure::COME_BACK;
-pub(crate) use self::failure::{Why, refusal};
+pub(crate) use self::failure::{RefusalDetail, refusal};
 
 /// Where a request stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum State {
+pub(crate) enum Phase {
     /// It waits for tokens of its account.
     Charging,
     /// It waits for the scheduler's answer.
@@ -53,9 +53,9 @@
 
 /// One request.
 #[derive(Debug)]
-pub(crate) struct Flow {
+pub(crate) struct RequestState {
     /// What the caller asks.
-    pub(crate) call: Call,
+    pub(crate) call: CallerRequest,
     /// Its route, as it was at the arrival.
     pub(crate) route: Arc<Route>,
     /// The client account that it is for.
@@ -73,7 +73,7 @@
     /// When its final answer is due.
     pub(crate) ends: Instant,
     /// Where it stands.
-    pub(crate) state: State,
+    pub(crate) phase: Phase,
     /// When it was last sent; its arrival before.
     pub(crate) sent: Instant,
     /// How often it was sent.
@@ -86,9 +86,9 @@
     pub(crate) failed: Vec<Server>,
 }
 
-impl Flow {
+impl RequestState {
     fn new(
-        call: Call,
+        call: CallerRequest,
         account: Option<Arc<Account>>,
         route: Arc<Route>,
         service: Service,
@@ -96,7 +96,10 @@
     ) -> Self {
         let cost = account.as_ref().map(|account| account.cost(call.tokens));
         let priority = account.as_ref().and_then(|account| account.priority);
-        let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
+        let patience = call
+            .caller_timeout
+            .unwrap_or(route.timeout)
+            .min(route.timeout);
         Self {
             call,
             account,
@@ -107,7 +110,7 @@
             service,
             arrived: came,
             ends: came + patience,
-            state: State::Waiting,
+            phase: Phase::Waiting,
             sent: came,
             sends: 0,
             ran: 0,
@@ -117,14 +120,22 @@
     }
 
     /// What the scheduler is asked; none for a request of a plain service.
-    pub(crate) fn want(&self, request: RequestId, zone: &Zone, now: Instant) -> Option<Want> {
-        Some(Want {
+    pub(crate) fn want(
+        &self,
+        request: RequestId,
+        zone: &Zone,
+        now: Instant,
+    ) -> Option<PlacementRequest> {
+        Some(PlacementRequest {
             request,
             id: self.call.id.clone(),
             work: self.call.work.clone()?,
             waited: now.since(self.arrived),
             objective: self.route.objective,
-            left: self.ends.min(self.arrived + self.route.patience).since(now),
+            left: self
+                .ends
+                .min(self.arrived + self.route.caller_timeout)
+                .since(now),
             priority: self.priority,
             zone: zone.clone(),
             failed: self.failed.clone(),
@@ -133,16 +144,21 @@
 
     /// The server where it is, if it was sent.
     pub(crate) fn server(&self) -> Option<&Server> {
-        match &self.state {
-            State::Sent { server, .. } => Some(server),
-            State::Charging | State::Waiting | State::Permit { .. } => None,
+        match &self.phase {
+            Phase::Sent { server, .. } => Some(server),
+            Phase::Charging | Phase::Waiting | Phase::Permit { .. } => None,
         }
     }
 }
 
 impl Gateway {
     /// A caller's request has been read.
-    pub(crate) fn arrived(&mut self, request: RequestId, call: Call, out: &mut Effects) {
+    pub(crate) fn handle_request(
+        &mut self,
+        request: RequestId,
+        call: CallerRequest,
+        out: &mut Effects,
+    ) {
         match self.config {
             Some(_) => self.admit(request, call, self.now, out),
             None => self.queue_at_startup(request, call, out),
@@ -153,7 +169,7 @@
     pub(crate) fn admit(
         &mut self,
         request: RequestId,
-        call: Call,
+        call: CallerRequest,
         came: Instant,
         out: &mut Effects,
     ) {
@@ -169,52 +185,52 @@
             }
         };
         let service = self.target(&route.targets);
-        let budget = self.budgets.entry(service.clone()).or_default();
+        let budget = self.retry_budgets.entry(service.clone()).or_default();
         budget.request(self.now, self.settings.tuning.retry_window);
-        let flow = Flow::new(call, account, route, service, came);
-        let fingerprint = flow.call.fingerprint;
-        self.timers.set(flow.ends, Timer::Flow(request));
-        self.flows.insert(request, flow);
+        let state = RequestState::new(call, account, route, service, came);
+        let fingerprint = state.call.fingerprint;
+        self.timers.set(state.ends, Timer::Request(request));
+        self.in_flight.insert(request, state);
         match self.quarantine.left(fingerprint, self.now) {
-            Some(left) => self.give_up(request, Some(left), Why::Quarantined, out),
+            Some(left) => self.refuse_request(request, Some(left), RefusalDetail::Quarantined, out),
             None => self.charge(request, out),
         }
     }
 
     /// Refuses a request that no route fits.
-    fn refuse_unrouted(&self, request: RequestId, call: &Call, out: &mut Effects) {
-        let version = self.version();
+    fn refuse_unrouted(&self, request: RequestId, call: &CallerRequest, out: &mut Effects) {
+        let version = self.config_version();
         let detail = format!(
             "id={} why=no_route config={version} host={} path={}",
             call.id, call.host, call.path
         );
         Self::log(out, Code::Refused, detail);
-        out.push(refusal(request, Reason::NoRoute, None));
+        out.push(refusal(request, RefusalReason::NoRoute, None));
     }
 
     /// Looks for a server for a request that has none.
-    pub(crate) fn seek(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get_mut(&request) else {
+    pub(crate) fn find_server(&mut self, request: RequestId, out: &mut Effects) {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        flow.state = State::Waiting;
-        let service = flow.service.clone();
+        state.phase = Phase::Waiting;
+        let service = state.service.clone();
         let engine = self
             .index
             .service(service.as_str())
             .is_some_and(|s| s.engine.is_some());
-        if engine && flow.call.work.is_some() {
-            self.ask_place(request, out);
+        if engine && state.call.work.is_some() {
+            self.request_placement(request, out);
             return;
         }
-        let failed = flow.failed.clone();
-        let choice = self.choose(&service, &failed, |_| true);
+        let failed = state.failed.clone();
+        let choice = self.choose_server(&service, &failed, |_| true);
         if let Some(server) = choice {
-            self.send_alone(request, &server, None, out);
+            self.send_unscheduled(request, &server, None, out);
         } else {
             let opens = self.opens(&service);
             let after = self.retry_after(opens).max(COME_BACK);
-            self.give_up(request, Some(after), Why::NoServer, out);
+            self.refuse_request(request, Some(after), RefusalDetail::NoServer, out);
         }
     }
 
@@ -234,37 +250,39 @@
         version: Option<Version>,
         out: &mut Effects,
     ) {
-        let config = self.version();
-        let (Some(flow), Some(row)) = (self.flows.get_mut(&request), self.servers.get_mut(server))
-        else {
+        let config = self.config_version();
+        let (Some(state), Some(row)) = (
+            self.in_flight.get_mut(&request),
+            self.servers.get_mut(server),
+        ) else {
             return;
         };
-        flow.sends += 1;
-        flow.sent = self.now;
-        flow.state = State::Sent {
+        state.sends += 1;
+        state.sent = self.now;
+        state.phase = Phase::Sent {
             server: server.clone(),
             begun: false,
         };
         row.open += 1;
-        let send = Send {
+        let send = Attempt {
             server: server.clone(),
             address: row.backend.address,
-            left: flow.ends.since(self.now),
-            account: flow.account.as_ref().map(|account| account.name.clone()),
+            left: state.ends.since(self.now),
+            account: state.account.as_ref().map(|account| account.name.clone()),
             version,
-            priority: flow.priority,
-            stream: flow.route.kind.stream(),
-            resumable: flow.route.kind == Kind::Resumable,
+            priority: state.priority,
+            stream: state.route.kind.stream(),
+            resumable: state.route.kind == RouteKind::Resumable,
         };
-        let waited = self.now.since(flow.arrived);
-        let account = flow.account.as_ref().map_or("-", |a| a.name.as_str());
+        let waited = self.now.since(state.arrived);
+        let account = state.account.as_ref().map_or("-", |a| a.name.as_str());
         let detail = format!(
             "id={} call={} account={account} route={} config={config} server={server} send={} waited={waited} open={}",
-            flow.call.id, flow.call.fingerprint, flow.route.name, flow.sends, row.open
+            state.call.id, state.call.fingerprint, state.route.name, state.sends, row.open
         );
         Self::log(out, Code::Sent, detail);
-        let (first, service) = (flow.sends == 1, flow.service.clone());
-        measure::count(
+        let (first, service) = (state.sends == 1, state.service.clone());
+        metrics::count_for_service(
             out,
             if first {
                 Figure::Attempts
@@ -275,73 +293,78 @@
             "send",
         );
         if first {
-            measure::time(out, Figure::QueueWait, &service, waited);
+            metrics::observe_seconds(out, Figure::QueueWait, &service, waited);
         }
-        out.push(Effect::Request(request, Verdict::Send(Box::new(send))));
+        out.push(Effect::Request(request, NextStep::Attempt(Box::new(send))));
     }
 
     /// The first piece of an answer has come.
-    pub(crate) fn begun(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get_mut(&request) else {
+    pub(crate) fn handle_answer_started(&mut self, request: RequestId, out: &mut Effects) {
+        let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        if let State::Sent { begun, .. } = &mut flow.state {
+        if let Phase::Sent { begun, .. } = &mut state.phase {
             *begun = true;
         }
-        let took = self.now.since(flow.arrived);
-        flow.first.get_or_insert(took);
-        measure::time(out, Figure::FirstToken, &flow.service, took);
-        self.tell_progress(request, Progress::Begun, out);
+        let took = self.now.since(state.arrived);
+        state.first.get_or_insert(took);
+        metrics::observe_seconds(out, Figure::FirstToken, &state.service, took);
+        self.report_progress(request, Progress::AnswerStarted, out);
     }
 
     /// A whole answer has gone to the caller.
-    pub(crate) fn completed(&mut self, request: RequestId, pause: Span, out: &mut Effects) {
-        let Some(flow) = self.flows.get(&request) else {
+    pub(crate) fn handle_answer_completed(
+        &mut self,
+        request: RequestId,
+        pause: Span,
+        out: &mut Effects,
+    ) {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let took = self.now.since(flow.arrived);
-        let server = flow.server().map_or("-", Server::as_str);
-        let first = flow.first.unwrap_or(took);
-        let late = lateness(&flow.route, first, pause);
+        let took = self.now.since(state.arrived);
+        let server = state.server().map_or("-", Server::as_str);
+        let first = state.first.unwrap_or(took);
+        let late = lateness(&state.route, first, pause);
         let detail = format!(
             "id={} route={} server={server} late={late} first={first} pause={pause} took={took}",
-            flow.call.id, flow.route.name
+            state.call.id, state.route.name
         );
         Self::log(out, Code::Served, detail);
-        measure::time(out, Figure::WholeAnswer, &flow.service, took);
-        measure::count(out, Figure::Answered, &flow.service, "whole");
-        if let Some(row) = flow
+        metrics::observe_seconds(out, Figure::WholeAnswer, &state.service, took);
+        metrics::count_for_service(out, Figure::Answered, &state.service, "whole");
+        if let Some(row) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
         {
-            row.health.good(self.now);
+            row.health.record_success(self.now);
         }
         self.answered_whole(request, out);
-        self.end(request, Progress::Over, out);
+        self.end(request, Progress::Finished, out);
     }
 
     /// The caller has left.
-    pub(crate) fn gone(&mut self, request: RequestId, out: &mut Effects) {
+    pub(crate) fn handle_caller_left(&mut self, request: RequestId, out: &mut Effects) {
         if let Some((came, call)) = self.startup_queue.remove(request) {
             self.log_left(&call, came, out);
         }
-        if let Some(flow) = self.flows.get(&request) {
-            self.log_left(&flow.call, flow.arrived, out);
-            if flow.server().is_none() && flow.ran == 0 {
+        if let Some(state) = self.in_flight.get(&request) {
+            self.log_left(&state.call, state.arrived, out);
+            if state.server().is_none() && state.ran == 0 {
                 self.refund(request);
             }
-            self.end(request, Progress::Over, out);
+            self.end(request, Progress::Finished, out);
         }
     }
 
-    fn log_left(&self, call: &Call, came: Instant, out: &mut Effects) {
+    fn log_left(&self, call: &CallerRequest, came: Instant, out: &mut Effects) {
         let after = self.now.since(came);
         let detail = format!("id={} after={after}", call.id);
         Self::log(out, Code::CallerLeft, detail);
     }
 
     /// The scheduler found a place for a request.
-    pub(crate) fn placed(
+    pub(crate) fn handle_placement(
         &mut self,
         request: RequestId,
         server: &Server,
@@ -349,9 +372,9 @@
         out: &mut Effects,
     ) {
         let waiting = self
-            .flows
+            .in_flight
             .get(&request)
-            .is_some_and(|flow| flow.state == State::Waiting);
+            .is_some_and(|state| state.phase == Phase::Waiting);
         let listed = self.takes_work(server);
         match waiting {
             true if listed => self.send_to(request, server, version, out),
@@ -362,19 +385,21 @@
 
     /// Whether a server takes requests of this VM.
     pub(crate) fn takes_work(&self, server: &Server) -> bool {
-        let left = self.notices.has_left(server, self.now, self.last_resort());
-        let rests = self.notices.rests(server) > self.now;
+        let left = self
+            .notices
+            .has_left(server, self.now, self.last_resort_period());
+        let cooldown_until = self.notices.cooldown_until(server) > self.now;
         let row = self.servers.get(server);
-        row.is_some_and(|row| row.backend.ready && !left && !rests)
+        row.is_some_and(|row| row.backend.ready && !left && !cooldown_until)
     }
 
     /// Forgets a request that has its final answer.
     fn end(&mut self, request: RequestId, progress: Progress, out: &mut Effects) {
-        self.tell_progress(request, progress, out);
-        let Some(flow) = self.flows.remove(&request) else {
+        self.report_progress(request, progress, out);
+        let Some(state) = self.in_flight.remove(&request) else {
             return;
         };
-        if let Some(row) = flow
+        if let Some(row) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
         {
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -10,22 +10,22 @@
 use dahliastile_core::metric::Figure;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::candidacy::SETTLED;
-use crate::cluster::fact::{Fact, Holder, Resident, Revision, Subject, Version};
+use crate::cluster::candidacy::MIN_TENURE;
+use crate::cluster::snapshot::{EntryKey, EntryValue, Holder, Resident, Revision, Version};
 use crate::effect::Effects;
-use crate::event::{Fault, RequestId};
-use crate::measure;
-use crate::message::{Holding, Message, Progress, Running, Want};
+use crate::event::{LinkFault, RequestId};
+use crate::message::{EngineResidents, Message, PlacementRequest, Progress, Running};
+use crate::metrics;
 use crate::node::Gateway;
-use crate::request::flow::State as Flow;
+use crate::request::state::Phase;
 use crate::timer::Timer;
 
 /// The time without any word of the holder after which this VM goes on by itself: three of the holder's digests.
-pub(crate) const SILENCE: Span = Span::from_millis(900);
+pub(crate) const HOLDER_TIMEOUT: Span = Span::from_millis(900);
 
 /// The time after which a request that has heard nothing is asked for again, in case that the first question was lost:
 /// an objective's length, since most are placed within it.
-pub(crate) const ASK_AGAIN: Span = Span::from_millis(1_000);
+pub(crate) const PLACEMENT_RETRY_DELAY: Span = Span::from_millis(1_000);
 
 /// What this VM knows of a service's scheduler.
 #[derive(Debug, Default)]
@@ -47,34 +47,37 @@
 
 impl Gateway {
     /// Asks the scheduler for a place.
-    pub(crate) fn ask_place(&mut self, request: RequestId, out: &mut Effects) {
+    pub(crate) fn request_placement(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let Some(want) = flow.want(request, &self.settings.zone, now) else {
+        let Some(want) = state.want(request, &self.settings.zone, now) else {
             return;
         };
-        let service = flow.service.clone();
+        let service = state.service.clone();
         let me = self.settings.vm.clone();
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.want(now, &me, want);
+            scheduler.enqueue(now, &me, want);
             return;
         }
-        self.timers.set(now + ASK_AGAIN, Timer::Flow(request));
+        self.timers
+            .set(now + PLACEMENT_RETRY_DELAY, Timer::Request(request));
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         match client.holder.clone() {
-            Some(holder) if !client.silent => self.send(&holder, Message::Want(service, want), out),
+            Some(holder) if !client.silent => {
+                self.send(&holder, Message::PlacementRequest(service, want), out);
+            }
             _ => self.place_alone(request, out),
         }
     }
 
     /// Places a request without the scheduler, where its adapter was resident by the last word.
     fn place_alone(&mut self, request: RequestId, out: &mut Effects) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let Some(work) = &flow.call.work else {
+        let Some(work) = &state.call.work else {
             return;
         };
         let newest = work
@@ -82,7 +85,7 @@
             .as_ref()
             .map_or(0, |a| self.newest(&work.model, a));
         let version = work.adapter.as_ref().map(|_| newest).filter(|v| *v > 0);
-        let (service, failed) = (flow.service.clone(), flow.failed.clone());
+        let (service, failed) = (state.service.clone(), state.failed.clone());
         let adapter = work.adapter.clone();
         let Some(client) = self.scheduler_clients.get(&service) else {
             return;
@@ -97,38 +100,38 @@
             .filter(|server| adapter.is_none() || holding(server).is_some())
             .cloned()
             .collect();
-        let choice = self.choose(&service, &failed, |server| holders.contains(server));
+        let choice = self.choose_server(&service, &failed, |server| holders.contains(server));
         if let Some(server) = choice {
-            self.send_alone(request, &server, version, out);
+            self.send_unscheduled(request, &server, version, out);
         }
     }
 
     /// The newest version of an adapter that is known, 0 where none was named.
     pub(crate) fn newest(&self, model: &Arc<str>, adapter: &Arc<str>) -> Version {
-        let subject = Subject::Version(model.clone(), adapter.clone());
-        match self.facts.get(&subject).and_then(|c| c.fact.as_ref()) {
-            Some(Fact::Version(version)) => *version,
+        let subject = EntryKey::Version(model.clone(), adapter.clone());
+        match self.snapshot.get(&subject).and_then(|c| c.value.as_ref()) {
+            Some(EntryValue::Version(version)) => *version,
             _ => 0,
         }
     }
 
     /// Tells the scheduler how a request goes.
-    pub(crate) fn tell_progress(
+    pub(crate) fn report_progress(
         &mut self,
         request: RequestId,
         progress: Progress,
         out: &mut Effects,
     ) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        if flow.call.work.is_none() {
+        if state.call.work.is_none() {
             return;
         }
-        let service = flow.service.clone();
+        let service = state.service.clone();
         let me = self.settings.vm.clone();
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.progress(self.now, &me, request, progress);
+            scheduler.update_progress(self.now, &me, request, progress);
             return;
         }
         let holder = self
@@ -141,7 +144,7 @@
     }
 
     /// The key-value service names the holder of a leadership.
-    pub(crate) fn holder_named(
+    pub(crate) fn handle_new_holder(
         &mut self,
         service: &Service,
         holder: &Holder,
@@ -161,7 +164,7 @@
             return;
         }
         if known {
-            self.leaderships.note_change(service, self.now);
+            self.leaderships.record_holder_change(service, self.now);
         }
         Self::log(
             out,
@@ -169,17 +172,17 @@
             format!("service={service} vm={} fence={fence}", holder.vm),
         );
         if *holder == self.as_holder() {
-            self.leadership_won(service, fence, out);
+            self.start_scheduler(service, fence, out);
         } else {
-            self.leaderships.end_wait(service);
-            self.leadership_lost(service, out);
+            self.leaderships.cancel_candidacy(service);
+            self.stop_scheduler(service, out);
             self.introduce(service, out);
-            self.leaderships_changed(out);
+            self.update_candidacies(out);
         }
     }
 
     /// The leadership is free.
-    pub(crate) fn holder_gone(&mut self, service: &Service, out: &mut Effects) {
+    pub(crate) fn handle_holder_gone(&mut self, service: &Service, out: &mut Effects) {
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         let old = client.holder.take();
         Self::log(
@@ -188,14 +191,14 @@
             format!("service={service} fence={} was={old:?}", client.fence),
         );
         if old.as_ref() == Some(&self.settings.vm) {
-            self.leadership_lost(service, out);
+            self.stop_scheduler(service, out);
         }
         self.go_alone(service, out);
-        self.leaderships_changed(out);
+        self.update_candidacies(out);
     }
 
     /// Whether a message of a scheduler counts: it does unless a newer one is known.
-    pub(crate) fn follows(
+    pub(crate) fn accept_scheduler_message(
         &mut self,
         service: &Service,
         fence: u64,
@@ -205,7 +208,7 @@
         let now = self.now;
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         if fence < client.fence {
-            measure::count(out, Figure::Dropped, service, "old_scheduler");
+            metrics::count_for_service(out, Figure::Dropped, service, "old_scheduler");
             return false;
         }
         let changed = fence > client.fence
@@ -218,22 +221,22 @@
         client.holder = Some(from.clone());
         client.heard = now;
         client.silent = false;
-        self.timers.set(now + SILENCE, Timer::Leadership);
+        self.timers.set(now + HOLDER_TIMEOUT, Timer::Leadership);
         if changed {
-            self.leaderships.end_wait(service);
+            self.leaderships.cancel_candidacy(service);
             Self::log(
                 out,
                 Code::HolderNamed,
                 format!("service={service} vm={from} fence={fence} by=peer"),
             );
-            self.leadership_lost(service, out);
+            self.stop_scheduler(service, out);
             self.introduce(service, out);
         }
         true
     }
 
     /// The VM that schedules a service, as long as it is heard.
-    pub(crate) fn scheduler_of(&self, service: &Service) -> Option<Vm> {
+    pub(crate) fn scheduler_vm(&self, service: &Service) -> Option<Vm> {
         if self.schedulers.contains_key(service) {
             return Some(self.settings.vm.clone());
         }
@@ -245,13 +248,13 @@
     }
 
     /// When the holder of a service was last heard.
-    pub(crate) fn holder_heard(&self, service: &Service) -> Instant {
+    pub(crate) fn holder_last_heard(&self, service: &Service) -> Instant {
         let client = self.scheduler_clients.get(service);
         client.map_or(Instant::default(), |client| client.heard)
     }
 
     /// Keeps what the scheduler says some engines hold.
-    pub(crate) fn keep_residents(&mut self, service: &Service, residents: Vec<Holding>) {
+    pub(crate) fn record_residents(&mut self, service: &Service, residents: Vec<EngineResidents>) {
         let servers = &self.servers;
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         client
@@ -263,7 +266,7 @@
     }
 
     /// A server has started again and holds nothing of what it held.
-    pub(crate) fn forget_residents(&mut self, service: &Service, server: &Server) {
+    pub(crate) fn clear_residents(&mut self, service: &Service, server: &Server) {
         if let Some(client) = self.scheduler_clients.get_mut(service) {
             client.residents.remove(server);
         }
@@ -271,16 +274,16 @@
 
     /// Keeps where the scheduler had a request of this VM run: its adapter is there, until a word of the scheduler says
     /// otherwise or the engine has had as many newer ones as it holds.
-    pub(crate) fn keep_place(
+    pub(crate) fn record_placement(
         &mut self,
         request: RequestId,
         server: &Server,
         version: Option<Version>,
     ) {
-        let Some(flow) = self.flows.get(&request) else {
+        let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let adapter = flow.call.work.as_ref().and_then(|w| w.adapter.clone());
+        let adapter = state.call.work.as_ref().and_then(|w| w.adapter.clone());
         let Some(adapter) = adapter else {
             return;
         };
@@ -288,10 +291,10 @@
         let version = version.unwrap_or(0);
         let shape = self
             .index
-            .service(flow.service.as_str())
+            .service(state.service.as_str())
             .and_then(|application| application.engine.as_ref());
         let places = shape.map_or(0, |shape| shape.places);
-        let Some(client) = self.scheduler_clients.get_mut(&flow.service) else {
+        let Some(client) = self.scheduler_clients.get_mut(&state.service) else {
             return;
         };
         let row = client.residents.entry(server.clone()).or_default();
@@ -303,17 +306,18 @@
     }
 
     /// A link broke: where it led to a holder, this VM goes on alone until it hears of one again.
-    pub(crate) fn peer_down(&mut self, address: SocketAddr, fault: Fault, out: &mut Effects) {
+    pub(crate) fn peer_down(&mut self, address: SocketAddr, fault: LinkFault, out: &mut Effects) {
         let now = self.now;
-        let Some((vm, gone)) = self.membership.down(address, fault, now) else {
+        let Some((vm, gone)) = self.membership.record_link_failure(address, fault, now) else {
             return;
         };
         if gone {
-            self.scheduler_vm_gone(&vm);
+            self.remove_scheduler_vm(&vm);
         }
         self.quota_vm_down(&vm, out);
         // A holder whose word still comes is busy, not gone.
-        let busy = |client: &State| fault == Fault::Late && now.since(client.heard) < SILENCE;
+        let busy =
+            |client: &State| fault == LinkFault::Late && now.since(client.heard) < HOLDER_TIMEOUT;
         let holds = |client: &State| client.holder.as_ref() == Some(&vm) && !busy(client);
         let led = self
             .scheduler_clients
@@ -326,11 +330,13 @@
     }
 
     /// Looks whether the holders have been silent for too long.
-    pub(crate) fn watch_holders(&mut self, out: &mut Effects) {
+    pub(crate) fn check_holder_timeouts(&mut self, out: &mut Effects) {
         let now = self.now;
         let me = &self.settings.vm;
         let silent = |a: &State| {
-            !a.silent && a.holder.as_ref().is_some_and(|h| h != me) && now.since(a.heard) >= SILENCE
+            !a.silent
+                && a.holder.as_ref().is_some_and(|h| h != me)
+                && now.since(a.heard) >= HOLDER_TIMEOUT
         };
         let services: Vec<Service> = self
             .scheduler_clients
@@ -357,17 +363,17 @@
             format!("service={service} vm={:?} why={why}", client.holder),
         );
         self.go_alone(service, out);
-        let settled = self.leaderships.changed(service) + SETTLED;
+        let settled = self.leaderships.changed(service) + MIN_TENURE;
         self.timers.set(settled, Timer::Leadership);
-        self.leaderships_changed(out);
+        self.update_candidacies(out);
     }
 
     /// Places what waits without the scheduler, as far as its adapters are resident.
     fn go_alone(&mut self, service: &Service, out: &mut Effects) {
         let waiting: Vec<RequestId> = self
-            .flows
+            .in_flight
             .iter()
-            .filter(|(_, f)| f.service == *service && f.state == Flow::Waiting)
+            .filter(|(_, f)| f.service == *service && f.phase == Phase::Waiting)
             .map(|(id, _)| *id)
             .collect();
         for request in waiting {
@@ -385,35 +391,39 @@
         let Some(holder) = client.holder.clone().filter(|vm| *vm != self.settings.vm) else {
             return;
         };
-        let (running, wants) = self.state_for(service);
-        self.timers.set(self.now + SILENCE, Timer::Leadership);
+        let (running, wants) = self.running_and_waiting(service);
+        self.timers
+            .set(self.now + HOLDER_TIMEOUT, Timer::Leadership);
         self.send(
             &holder,
-            Message::Hello(service.clone(), self.member(), running, wants),
+            Message::Resync(service.clone(), self.member(), running, wants),
             out,
         );
-        for message in self.notices_of(service) {
+        for message in self.notice_messages(service) {
             self.send(&holder, message, out);
         }
     }
 
     /// All that runs and waits on this VM for a service.
-    pub(crate) fn state_for(&self, service: &Service) -> (Vec<Running>, Vec<Want>) {
+    pub(crate) fn running_and_waiting(
+        &self,
+        service: &Service,
+    ) -> (Vec<Running>, Vec<PlacementRequest>) {
         let mut running = Vec::new();
         let mut wants = Vec::new();
         // What waits for tokens of its account or for leave at a server wants no place yet.
-        let unasked = |f: &crate::request::flow::Flow| {
-            matches!(f.state, Flow::Charging | Flow::Permit { .. })
+        let unasked = |f: &crate::request::state::RequestState| {
+            matches!(f.phase, Phase::Charging | Phase::Permit { .. })
         };
-        let asked = |f: &crate::request::flow::Flow| f.service == *service && !unasked(f);
-        for (request, flow) in self.flows.iter().filter(|(_, flow)| asked(flow)) {
-            match (flow.server(), &flow.call.work) {
+        let asked = |f: &crate::request::state::RequestState| f.service == *service && !unasked(f);
+        for (request, state) in self.in_flight.iter().filter(|(_, state)| asked(state)) {
+            match (state.server(), &state.call.work) {
                 (Some(server), Some(work)) => running.push(Running {
                     request: *request,
                     server: server.clone(),
                     work: work.clone(),
                 }),
-                _ => wants.extend(flow.want(*request, &self.settings.zone, self.now)),
+                _ => wants.extend(state.want(*request, &self.settings.zone, self.now)),
             }
         }
         (running, wants)
--- a/crates/gateway/src/scheduler/job.rs
+++ b/crates/gateway/src/scheduler/job.rs
@@ -8,8 +8,8 @@
 use rustc_hash::FxHashMap;
 
 use super::key::Key;
-use crate::event::{RequestId, Work};
-use crate::message::{Running, Want};
+use crate::event::{InferenceSpec, RequestId};
+use crate::message::{PlacementRequest, Running};
 
 /// A request of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,7 +42,7 @@
     /// The caller's id of it; empty for one that ran already when the scheduler began.
     pub(crate) id: Arc<str>,
     /// What it asks for.
-    pub(crate) work: Work,
+    pub(crate) work: InferenceSpec,
     /// The adapter that it needs, where it names one.
     pub(crate) key: Option<Key>,
     /// When it arrived at its VM.
@@ -65,7 +65,7 @@
 
 impl Job {
     /// A request that wants a place.
-    pub(crate) fn waiting(now: Instant, want: Want, key: Option<Key>) -> Self {
+    pub(crate) fn waiting(now: Instant, want: PlacementRequest, key: Option<Key>) -> Self {
         let arrived = now.back(want.waited);
         Self {
             id: want.id,
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -180,7 +180,7 @@
     /// wait at the engines that hold it already, where it is long enough for a copy.
     fn wanted(&self, waits: &[Wait], spread: &Spread) -> Vec<Wanted> {
         let mut wanted: Vec<Wanted> = Vec::new();
-        let copies = self.settings.uses(Feature::Copies);
+        let copies = self.settings.uses(Feature::ExtraReplicas);
         let mut rows: FxHashMap<Key, usize> = FxHashMap::default();
         for wait in waits {
             let Some(job) = self.jobs.get(&wait.id).filter(|job| job.waits()) else {
@@ -250,7 +250,7 @@
 
     /// Where an adapter lies beside an engine, how many others were held there since it was.
     pub(crate) fn lies_beside(&self, engine: &Engine, key: Key) -> Option<usize> {
-        let used = self.settings.uses(Feature::RecentAdapters);
+        let used = self.settings.uses(Feature::CachedAdapters);
         let depth = engine.recent.depth(key).filter(|_| used);
         depth.filter(|depth| self.beside.holds(*depth))
     }
@@ -260,7 +260,7 @@
         let servers = self.remembering.servers(key).iter();
         let engines = servers.filter_map(|server| self.engines.get(server));
         let open = |engine: &&Engine| {
-            engine.usable() && engine.may_get(1, now) && !engine.rest.turns_away()
+            engine.usable() && engine.may_get(1, now) && !engine.cooldown.turns_away()
         };
         let mut open = engines.filter(open);
         open.any(|engine| self.lies_beside(engine, key).is_some())
@@ -302,7 +302,7 @@
                 offer(choice(server, room, None, self.load_time + FETCH));
             }
         }
-        let patient = self.settings.uses(Feature::RecentPatience) && look.now < wanted.patient;
+        let patient = self.settings.uses(Feature::CachedAdapterWait) && look.now < wanted.patient;
         best.filter(|best| !patient || best.cost <= later)
     }
 
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -11,7 +11,7 @@
 use super::key::Keys;
 use super::{Decision, Scheduler};
 use crate::effect::{Order, OrderId};
-use crate::event::{Ordered, Report};
+use crate::event::{OrderOutcome, Report};
 
 /// How often an order without an answer is sent before the engine counts as dead for a while.
 const TRIES: u32 = 3;
@@ -28,7 +28,7 @@
     pub(crate) fn settle(&mut self, now: Instant, out: &mut Vec<Decision>) {
         let mut next = Instant::NEVER;
         for engine in self.engines.values_mut() {
-            engine.rest.forget_ended(now);
+            engine.cooldown.forget_ended(now);
             for place in engine.places.values_mut() {
                 match place.stage {
                     Stage::Coming(at) if at <= now => place.stage = Stage::Ready,
@@ -56,7 +56,7 @@
         let unknown = self.engines.iter().filter(|(_, engine)| !engine.known);
         let (mut due, later): (Vec<_>, Vec<_>) = unknown
             .map(|(server, engine)| {
-                let open = engine.rest.ends(&self.settings.vm);
+                let open = engine.cooldown.ends(&self.settings.vm);
                 (report_due(engine, now).max(open), server.clone())
             })
             .partition(|(at, _)| *at <= now);
@@ -72,7 +72,7 @@
             engine.take_one(now);
             engine.asked = Some(now);
             engine.reporting = true;
-            out.push(Decision::Report(server, engine.backend.address));
+            out.push(Decision::QueryReport(server, engine.backend.address));
             self.by(now + REPORT_AGAIN);
         }
         for (at, _) in later {
@@ -88,7 +88,7 @@
         };
         engine.reporting = false;
         let Some(report) = report else {
-            engine.health.dead(now);
+            engine.health.record_connection_failure(now);
             return;
         };
         if engine.known {
@@ -116,7 +116,7 @@
     pub(crate) fn send_orders(&mut self, now: Instant, out: &mut Vec<Decision>) {
         let (fence, me) = (self.fence(), &self.settings.vm);
         for (server, engine) in &mut self.engines {
-            let open = engine.usable() && engine.may_get(1, now) && engine.rest.allows(now, me);
+            let open = engine.usable() && engine.may_get(1, now) && engine.cooldown.allows(now, me);
             if !open || engine.pending.is_some() {
                 continue;
             }
@@ -125,12 +125,12 @@
             };
             engine.take_one(now);
             self.last_order += 1;
-            let patience = self
+            let answer_timeout = self
                 .settings
                 .tuning
                 .order_timeout
                 .times(1_u64 << engine.tries);
-            let order = order(&self.keys, &intent, engine.orders, fence, patience);
+            let order = order(&self.keys, &intent, engine.orders, fence, answer_timeout);
             engine.last_order = now;
             engine.pending = Some(Pending {
                 id: self.last_order,
@@ -148,7 +148,12 @@
     }
 
     /// An order came back. Says whether the engine has seen a higher fencing number.
-    pub(crate) fn order_answered(&mut self, now: Instant, id: OrderId, outcome: Ordered) -> bool {
+    pub(crate) fn order_answered(
+        &mut self,
+        now: Instant,
+        id: OrderId,
+        outcome: OrderOutcome,
+    ) -> bool {
         let (load_time, back_time) = (self.load_time, self.back_time());
         let sent = |engine: &Engine| engine.pending.as_ref().is_some_and(|p| p.id == id);
         let found = self.engines.iter_mut().find(|(_, engine)| sent(engine));
@@ -166,8 +171,8 @@
         self.notes.push(Record::new(Code::OrderAnswered, detail));
         engine.last_order = now;
         match (outcome, &pending.intent) {
-            (Ordered::Fenced, _) => return true,
-            (Ordered::Accepted, Intent::Load(key, _)) => {
+            (OrderOutcome::Fenced, _) => return true,
+            (OrderOutcome::Accepted, Intent::Load(key, _)) => {
                 engine.orders += 1;
                 self.remembering.touch(server, &mut engine.recent, *key);
                 if let Some(place) = engine.places.get_mut(key) {
@@ -175,23 +180,23 @@
                     place.stage = Stage::Coming(now + time);
                 }
             }
-            (Ordered::Accepted, Intent::Base(_)) => engine.orders += 1,
-            (Ordered::Holds, Intent::Unload(key)) => {
+            (OrderOutcome::Accepted, Intent::Base(_)) => engine.orders += 1,
+            (OrderOutcome::Holds, Intent::Unload(key)) => {
                 engine.orders += 1;
                 engine.places.remove(key);
                 engine.kept.unloaded(*key);
             }
-            (Ordered::Holds, Intent::Load(key, _)) => {
+            (OrderOutcome::Holds, Intent::Load(key, _)) => {
                 if let Some(place) = engine.places.get_mut(key) {
                     place.stage = Stage::Ready;
                 }
             }
-            (Ordered::Unknown | Ordered::NotSent, _) if engine.tries < TRIES => {
+            (OrderOutcome::Unknown | OrderOutcome::NotSent, _) if engine.tries < TRIES => {
                 engine.queue.push_front(pending.intent);
                 return false;
             }
-            (Ordered::Unknown | Ordered::NotSent, _) => {
-                engine.health.dead(now);
+            (OrderOutcome::Unknown | OrderOutcome::NotSent, _) => {
+                engine.health.record_connection_failure(now);
                 engine.forget();
             }
             // An unload that waits for runs, a count that differs, or an engine that is another one: only its report
@@ -203,7 +208,7 @@
     }
 }
 
-fn order(keys: &Keys, intent: &Intent, expected: u64, fence: u64, patience: Span) -> Order {
+fn order(keys: &Keys, intent: &Intent, expected: u64, fence: u64, answer_timeout: Span) -> Order {
     let (load, model, adapter, version) = match intent {
         Intent::Load(key, version) => {
             let name = keys.name(*key);
@@ -222,7 +227,7 @@
         version,
         expected,
         fence,
-        patience,
+        answer_timeout,
     }
 }
 
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -4,8 +4,8 @@
 use dahliastile_core::metric::Figure;
 
 use crate::effect::{Effect, Effects};
-use crate::measure;
 use crate::message::Message;
+use crate::metrics;
 use crate::node::Gateway;
 use crate::scheduler::{Decision, Scheduler};
 use crate::timer::Timer;
@@ -16,7 +16,7 @@
         let services: Vec<Service> = self.schedulers.keys().cloned().collect();
         for service in services {
             // Most steps find nothing due, and the VMs are counted only where something is.
-            let Some(wake) = self.schedulers.get(&service).map(Scheduler::wake) else {
+            let Some(wake) = self.schedulers.get(&service).map(Scheduler::next_run) else {
                 continue;
             };
             if self.now < wake {
@@ -27,11 +27,11 @@
             let Some(scheduler) = self.schedulers.get_mut(&service) else {
                 continue;
             };
-            self.ran = true;
-            scheduler.audience(vms);
+            self.scheduler_ran = true;
+            scheduler.set_vm_count(vms);
             let mut decisions = Vec::new();
             scheduler.run(self.now, &mut decisions);
-            let (fence, wake) = (scheduler.fence(), scheduler.wake());
+            let (fence, wake) = (scheduler.fence(), scheduler.next_run());
             for decision in decisions {
                 self.carry_out(&service, fence, decision, out);
             }
@@ -43,27 +43,27 @@
         let me = self.settings.vm.clone();
         match decision {
             Decision::Place(vm, request, server, version) if vm == me => {
-                self.placed(request, &server, version, out);
+                self.handle_placement(request, &server, version, out);
             }
             Decision::Place(vm, request, server, version) => {
                 self.send(
                     &vm,
-                    Message::Place(service.clone(), fence, request, server, version),
+                    Message::Placement(service.clone(), fence, request, server, version),
                     out,
                 );
             }
             Decision::Refuse(vm, request, after) if vm == me => {
-                self.turned_away(request, after, out);
+                self.handle_placement_refused(request, after, out);
             }
             Decision::Refuse(vm, request, after) => {
                 self.send(
                     &vm,
-                    Message::Refuse(service.clone(), fence, request, after),
+                    Message::PlacementRefused(service.clone(), fence, request, after),
                     out,
                 );
             }
             Decision::Order(id, server, address, order) => {
-                measure::count(
+                metrics::count_for_service(
                     out,
                     Figure::Loads,
                     service,
@@ -71,18 +71,20 @@
                 );
                 out.push(Effect::Order(id, server, address, order));
             }
-            Decision::Report(server, address) => out.push(Effect::Report(server, address)),
+            Decision::QueryReport(server, address) => out.push(Effect::Report(server, address)),
             Decision::Residents(residents) => {
-                self.keep_residents(service, residents.clone());
-                self.tell_residents(service, fence, residents, out);
+                self.record_residents(service, residents.clone());
+                self.broadcast_residents(service, fence, residents, out);
+            }
+            Decision::Heartbeat => {
+                self.broadcast(&Message::SchedulerHeartbeat(service.clone(), fence), out);
             }
-            Decision::Alive => self.tell_all(&Message::Alive(service.clone(), fence), out),
             Decision::Log(record) => out.push(Effect::Log(record)),
         }
     }
 
     /// Sends a message to all other VMs.
-    pub(crate) fn tell_all(&self, message: &Message, out: &mut Effects) {
+    pub(crate) fn broadcast(&self, message: &Message, out: &mut Effects) {
         for vm in self.peers() {
             self.send(vm, message.clone(), out);
         }
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A request's time is over.
-    Flow(RequestId),
+    Request(RequestId),
     /// This VM's own entry.
     Registration,
     /// The leaderships and their lease.
     Leadership,
     /// The key-value service.
-    Follow,
+    Watch,
     /// The requests that came before the first configuration.
     StartupQueue,
     /// The records of requests in quarantine.
--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -6,12 +6,12 @@
 
 use dahliastile_core::time::Span;
 use dahliastile_gateway::account::Account;
-use dahliastile_gateway::account::key::{Key, LONGEST};
+use dahliastile_gateway::account::key::{AccountKey, MAX_KEY_BYTES};
 use dahliastile_gateway::config::{Config, Route};
-use dahliastile_gateway::effect::Reason;
-use dahliastile_gateway::event::Call;
+use dahliastile_gateway::effect::RefusalReason;
+use dahliastile_gateway::event::CallerRequest;
 use quickcheck::{Gen, QuickCheck};
-use support::accounts::{account, call, config, key, tuning};
+use support::accounts::{account, config, key, request, tuning};
 use support::setup::{self, name};
 use support::{Answer, World};
 
@@ -20,7 +20,7 @@
 
 /// A fleet that knows two accounts without limits.
 fn warm() -> World {
-    let mut world = World::tuned(6, 2, 4, tuning());
+    let mut world = World::with_tuning(6, 2, 4, tuning());
     world.configure(config(2, accounts()));
     world.run(Span::from_secs(4));
     world
@@ -34,8 +34,8 @@
 }
 
 /// How a call at a VM came out.
-fn outcome(world: &mut World, vm: usize, call: Call) -> Answer {
-    let number = world.ask(vm, call);
+fn outcome(world: &mut World, vm: usize, call: CallerRequest) -> Answer {
+    let number = world.send_request(vm, call);
     world.run(Span::from_millis(500));
     let answer = world.answer(number).cloned();
     answer.expect("an answer")
@@ -54,9 +54,9 @@
         ("key-n2", "north"),
         ("key-s1", "south"),
     ] {
-        let number = world.ask(0, call("r", text));
+        let number = world.send_request(0, request("r", text));
         world.run(Span::from_millis(500));
-        let told = &world.asked[&number].accounts;
+        let told = &world.requests[&number].accounts;
         assert_eq!(told, &vec![Some(name(account))], "{text}");
     }
 }
@@ -65,13 +65,13 @@
 #[test]
 fn key_unknownisrefused() {
     let mut world = warm();
-    let without = Call {
+    let without = CallerRequest {
         key: None,
-        ..call("r", "any")
+        ..request("r", "any")
     };
-    for asked in [without, call("r", "key-x")] {
+    for asked in [without, request("r", "key-x")] {
         let answer = outcome(&mut world, 1, asked);
-        assert_eq!(answer, Answer::Refused(Reason::UnknownKey, None));
+        assert_eq!(answer, Answer::Refused(RefusalReason::UnknownKey, None));
     }
 }
 
@@ -79,21 +79,24 @@
 #[test]
 fn key_unknowntoalatevmisnotrefusedforgood() {
     let mut world = warm();
-    world.hosts[3].store = false;
-    world.hosts[3].peers = false;
+    world.vms[3].store_reachable = false;
+    world.vms[3].peers_reachable = false;
     world.run(Span::from_secs(3));
     let mut now = accounts();
     now.push(account("west", &["key-w1"], 0));
     world.configure(config(3, now));
     world.run(IN_FORCE);
-    let late = outcome(&mut world, 3, call("r", "key-w1"));
+    let late = outcome(&mut world, 3, request("r", "key-w1"));
     assert!(
-        matches!(late, Answer::Refused(Reason::UnconfirmedKey, Some(_))),
+        matches!(
+            late,
+            Answer::Refused(RefusalReason::UnconfirmedKey, Some(_))
+        ),
         "{late:?}"
     );
-    assert!(served(&outcome(&mut world, 1, call("r", "key-w1"))));
+    assert!(served(&outcome(&mut world, 1, request("r", "key-w1"))));
     // What it knows it goes on with.
-    assert!(served(&outcome(&mut world, 3, call("r", "key-n1"))));
+    assert!(served(&outcome(&mut world, 3, request("r", "key-n1"))));
 }
 
 /// Public routes need no key.
@@ -104,16 +107,16 @@
     open.routes = open.routes.iter().map(|route| public(route)).collect();
     world.configure(open);
     world.run(IN_FORCE);
-    let number = world.ask(
+    let number = world.send_request(
         0,
-        Call {
+        CallerRequest {
             key: None,
-            ..call("r", "any")
+            ..request("r", "any")
         },
     );
     world.run(Span::from_millis(500));
     assert!(matches!(world.answer(number), Some(Answer::Served(_))));
-    assert_eq!(world.asked[&number].accounts, vec![None]);
+    assert_eq!(world.requests[&number].accounts, vec![None]);
 }
 
 fn public(route: &Route) -> Arc<Route> {
@@ -126,14 +129,14 @@
 /// Without accounts in the configuration no key is needed.
 #[test]
 fn accounts_noneconfigured() {
-    let mut world = World::tuned(3, 2, 4, tuning());
+    let mut world = World::with_tuning(3, 2, 4, tuning());
     world.run(Span::from_secs(4));
     assert!(served(&outcome(
         &mut world,
         0,
-        Call {
+        CallerRequest {
             key: None,
-            ..call("r", "any")
+            ..request("r", "any")
         }
     )));
 }
@@ -142,8 +145,8 @@
 #[test]
 fn keys_changeeverywhere() {
     let mut world = warm();
-    world.hosts[2].store = false;
-    world.hosts[5].store = false;
+    world.vms[2].store_reachable = false;
+    world.vms[5].store_reachable = false;
     let moved = vec![
         account("north", &["key-n1"], 0),
         account("south", &["key-s2", "key-n2"], 0),
@@ -151,16 +154,16 @@
     world.configure(config(3, moved));
     world.run(IN_FORCE);
     for vm in 0..6 {
-        let gone = outcome(&mut world, vm, call("r", "key-s1"));
+        let gone = outcome(&mut world, vm, request("r", "key-s1"));
         assert!(!served(&gone), "vm{vm}");
         assert!(
-            served(&outcome(&mut world, vm, call("r", "key-s2"))),
+            served(&outcome(&mut world, vm, request("r", "key-s2"))),
             "vm{vm}"
         );
-        let number = world.ask(vm, call("r", "key-n2"));
+        let number = world.send_request(vm, request("r", "key-n2"));
         world.run(Span::from_millis(500));
         assert_eq!(
-            world.asked[&number].accounts,
+            world.requests[&number].accounts,
             vec![Some(name("south"))],
             "vm{vm}"
         );
@@ -179,7 +182,7 @@
         world.kill(vm, false);
         world.run(Span::from_secs(1));
         if vm % 2 == 0 {
-            world.hosts[vm].store = false;
+            world.vms[vm].store_reachable = false;
         }
     }
     world.run(Span::from_secs(3));
@@ -187,7 +190,7 @@
     world.run(IN_FORCE);
     for vm in 0..6 {
         assert!(
-            !served(&outcome(&mut world, vm, call("r", "key-s1"))),
+            !served(&outcome(&mut world, vm, request("r", "key-s1"))),
             "vm{vm}"
         );
     }
@@ -203,22 +206,28 @@
     };
     world.configure(config(3, vec![Arc::new(first)]));
     world.run(IN_FORCE);
-    let draft = Call {
+    let draft = CallerRequest {
         key: Some(key("key-n1")),
-        ..setup::draft("r", "a1")
+        ..setup::adapter_request("r", "a1")
     };
-    let number = world.ask(0, draft);
+    let number = world.send_request(0, draft);
     world.run(Span::from_secs(3));
-    assert_eq!(world.asked[&number].priorities, vec![7]);
+    assert_eq!(world.requests[&number].priorities, vec![7]);
 }
 
 /// What can't be a key is none.
 #[test]
 fn key_malformedisnone() {
-    for bytes in [&b""[..], b"a b", b"\xff", b"a\n", &[b'k'; LONGEST + 1]] {
-        assert_eq!(Key::of(bytes), None, "{bytes:?}");
+    for bytes in [
+        &b""[..],
+        b"a b",
+        b"\xff",
+        b"a\n",
+        &[b'k'; MAX_KEY_BYTES + 1],
+    ] {
+        assert_eq!(AccountKey::of(bytes), None, "{bytes:?}");
     }
-    assert!(Key::of(&[b'k'; LONGEST]).is_some());
+    assert!(AccountKey::of(&[b'k'; MAX_KEY_BYTES]).is_some());
 }
 
 /// No text of a key, of a configuration, of a request or of a log line holds the key's own text, whatever happens to the fleet.
@@ -229,7 +238,7 @@
     fn prints(text: String, steps: Vec<u8>) -> bool {
         let secret: String = text.chars().filter(char::is_ascii_alphanumeric).collect();
         let secret = format!("secret{secret}");
-        let mut world = World::tuned(3, 1, 2, tuning());
+        let mut world = World::with_tuning(3, 1, 2, tuning());
         let with = |version| config(version, vec![account("north", &[&secret], 9_000)]);
         for (at, step) in steps.iter().enumerate() {
             let version = 2 + at as u64;
@@ -240,17 +249,19 @@
                     ..with(version)
                 }),
                 2 => world.kill(usize::from(*step) % 3, false),
-                3 => world.hosts[usize::from(*step) % 3].store ^= true,
+                3 => world.vms[usize::from(*step) % 3].store_reachable ^= true,
                 _ => {
-                    world.ask(usize::from(*step) % 3, call("r", &secret));
+                    world.send_request(usize::from(*step) % 3, request("r", &secret));
                 }
             }
             world.run(Span::from_millis(300));
         }
-        let calls = format!("{:?} {:?}", world.asked, with(1));
+        let calls = format!("{:?} {:?}", world.requests, with(1));
         let bytes = postcard::to_stdvec(&with(1)).expect("bytes");
         let in_bytes = bytes.windows(secret.len()).any(|w| w == secret.as_bytes());
-        !in_bytes && !calls.contains(&secret) && !world.lines.iter().any(|l| l.contains(&secret))
+        !in_bytes
+            && !calls.contains(&secret)
+            && !world.log_lines.iter().any(|l| l.contains(&secret))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(24, 7))
--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::Reason;
-use support::setup::{call, work};
+use dahliastile_gateway::effect::RefusalReason;
+use support::setup::{request, work};
 use support::{Answer, World};
 
 fn ready() -> World {
@@ -16,45 +16,48 @@
 #[test]
 fn plain_isserved() {
     let mut world = ready();
-    let number = world.ask(0, call("a", "/query/x", 4_000, None));
+    let number = world.send_request(0, request("a", "/query/x", 4_000, None));
     world.run(Span::from_secs(1));
     assert!(matches!(world.answer(number), Some(Answer::Served(_))));
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
 fn draft_coldisloadedandserved() {
     let mut world = ready();
-    let number = world.ask(1, call("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))));
+    let number = world.send_request(
+        1,
+        request("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))),
+    );
     world.run(Span::from_secs(2));
-    let first = world.first_piece(number).expect("served");
+    let first = world.time_to_first_chunk(number).expect("served");
     assert!(first < Span::from_millis(500), "{first}");
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
 fn draft_warmneedsnoload() {
     let mut world = ready();
     for at in 0..10 {
-        world.ask(
+        world.send_request(
             at % 3,
-            call("a", "/plan/x", 5_000, Some(work("a1", 1_000, 20))),
+            request("a", "/plan/x", 5_000, Some(work("a1", 1_000, 20))),
         );
         world.run(Span::from_millis(600));
     }
     let loads: u32 = world.servers.values().map(|(e, _)| e.loads).sum();
-    assert_eq!((world.served(), loads), (10, 1));
-    world.check();
+    assert_eq!((world.total_served(), loads), (10, 1));
+    world.check_invariants();
 }
 
 #[test]
 fn route_unknownisrefused() {
     let mut world = ready();
-    let number = world.ask(0, call("a", "/none/x", 4_000, None));
+    let number = world.send_request(0, request("a", "/none/x", 4_000, None));
     world.run(Span::from_millis(1));
     assert_eq!(
         world.answer(number),
-        Some(&Answer::Refused(Reason::NoRoute, None))
+        Some(&Answer::Refused(RefusalReason::NoRoute, None))
     );
 }
 
@@ -64,13 +67,13 @@
 fn config_unknownisrefusedwithtime() {
     let mut world = World::new(1, 1, 1);
     world.store_up = false;
-    let early = world.ask(0, call("a", "/query/x", 4_000, None));
+    let early = world.send_request(0, request("a", "/query/x", 4_000, None));
     world.run(Span::from_millis(310));
-    let later = world.ask(0, call("b", "/query/x", 4_000, None));
+    let later = world.send_request(0, request("b", "/query/x", 4_000, None));
     for number in [early, later] {
         assert!(matches!(
             world.answer(number),
-            Some(Answer::Refused(Reason::NoConfig, Some(_)))
+            Some(Answer::Refused(RefusalReason::NoConfig, Some(_)))
         ));
     }
 }
@@ -83,23 +86,23 @@
         world.kill(vm, false);
     }
     world.run(Span::from_millis(401));
-    let call = |at| call(&format!("r{at}"), "/query/x", 4_000, None);
-    let numbers = world.ask_all(120, Span::ZERO, call);
+    let call = |at| request(&format!("r{at}"), "/query/x", 4_000, None);
+    let numbers = world.send_requests(120, Span::ZERO, call);
     assert_eq!(numbers.len(), 120);
     world.run(Span::from_secs(3));
-    assert_eq!(world.served_of(&numbers), numbers.len());
-    world.check();
+    assert_eq!(world.count_served(&numbers), numbers.len());
+    world.check_invariants();
 }
 
 /// A caller leaves before the configuration is there: nothing is sent for it.
 #[test]
 fn start_sendsnothingforacallerthatleft() {
     let mut world = World::new(1, 1, 1);
-    let number = world.ask(0, call("a", "/query/x", 4_000, None));
-    world.leave(number);
+    let number = world.send_request(0, request("a", "/query/x", 4_000, None));
+    world.disconnect_caller(number);
     world.run(Span::from_secs(2));
-    assert_eq!(world.asked[&number].arrivals, 0);
-    world.check();
+    assert_eq!(world.requests[&number].arrivals, 0);
+    world.check_invariants();
 }
 
 #[test]
@@ -107,13 +110,17 @@
     let mut world = ready();
     for at in 0..200_u32 {
         let adapter = format!("a{}", at * 7 % 61);
-        world.ask(
+        world.send_request(
             at as usize % 3,
-            call("a", "/plan/x", 5_000, Some(work(&adapter, 800, 20))),
+            request("a", "/plan/x", 5_000, Some(work(&adapter, 800, 20))),
         );
         world.run(Span::from_millis(60));
     }
     world.run(Span::from_secs(6));
-    assert!(world.served() >= 190, "{} served", world.served());
-    world.check();
+    assert!(
+        world.total_served() >= 190,
+        "{} served",
+        world.total_served()
+    );
+    world.check_invariants();
 }
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::feature::{Feature, Without};
+use dahliastile_gateway::feature::{DisabledFeatures, Feature};
 use dahliastile_gateway::settings::Tuning;
 use support::World;
-use support::setup::draft;
+use support::setup::adapter_request;
 
 #[test]
 fn name_isreadback() {
@@ -20,10 +20,12 @@
 
 #[test]
 fn without_namesthem() {
-    assert_eq!(Without::default().to_string(), "-");
-    let without: Without = [Feature::LeaseVotes, Feature::Copies].into_iter().collect();
+    assert_eq!(DisabledFeatures::default().to_string(), "-");
+    let without: DisabledFeatures = [Feature::LeaseVotes, Feature::ExtraReplicas]
+        .into_iter()
+        .collect();
     assert_eq!(without.to_string(), "copies,pledges");
-    assert!(!without.uses(Feature::Copies) && without.uses(Feature::Strength));
+    assert!(!without.uses(Feature::ExtraReplicas) && without.uses(Feature::Strength));
 }
 
 /// Without any one of them, and without all, what is promised holds under an outage, a lost engine, a lost holder and new
@@ -39,28 +41,30 @@
             fencing: false,
             ..Tuning::default()
         };
-        let mut world = World::without(4, 4, 1, tuning, without);
+        let mut world = World::without_features(4, 4, 1, tuning, without);
         world.run(Span::from_secs(2));
         let mut numbers = Vec::new();
         for round in 0..6_u64 {
             match round {
-                1 => world.name_version("a5", 2),
-                2 => world.crash("e1"),
+                1 => world.publish_version("a5", 2),
+                2 => world.crash_server("e1"),
                 3 => world.kill(world.holder().expect("a holder"), false),
                 4 => world.store_up = false,
                 5 => world.store_up = true,
                 _ => {}
             }
             world.wake_watchers();
-            let call = |at: usize| draft(&format!("r{round}-{at}"), &format!("a{}", at * 5 % 12));
-            numbers.extend(world.ask_all(50, Span::from_millis(40), call));
+            let call = |at: usize| {
+                adapter_request(&format!("r{round}-{at}"), &format!("a{}", at * 5 % 12))
+            };
+            numbers.extend(world.send_requests(50, Span::from_millis(40), call));
         }
         world.run(Span::from_secs(6));
-        let (served, all) = (world.served_of(&numbers), numbers.len());
+        let (served, all) = (world.count_served(&numbers), numbers.len());
         assert!(
             served * 10 >= all * 7,
             "{served} of {all} without {without}"
         );
-        world.check();
+        world.check_invariants();
     }
 }
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -9,7 +9,7 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::fact::{Change, Fact, Subject, Table, Way};
+use dahliastile_gateway::cluster::snapshot::{Change, Delivery, EntryKey, EntryValue, Snapshot};
 use support::World;
 use support::setup::{config, name};
 
@@ -19,18 +19,20 @@
     for at in 0..span.0 / step.0 {
         let id = name(&format!("e{}", at % 4));
         let backend = world.servers[&id].1.clone();
-        world
-            .store
-            .put(Subject::Server(id), Fact::Server(Arc::clone(&backend)), 0);
+        world.store.put(
+            EntryKey::Server(id),
+            EntryValue::Server(Arc::clone(&backend)),
+            0,
+        );
         world.wake_watchers();
         world.run(step);
     }
 }
 
 fn versions(world: &World) -> Vec<u64> {
-    let gateways = world.hosts.iter().filter_map(|host| host.gateway.as_ref());
+    let gateways = world.vms.iter().filter_map(|host| host.gateway.as_ref());
     gateways
-        .map(dahliastile_gateway::Gateway::version)
+        .map(dahliastile_gateway::Gateway::config_version)
         .collect()
 }
 
@@ -69,7 +71,7 @@
     world.configure(config(8));
     world.run(Span::from_millis(1_600));
     assert_eq!(versions(&world), vec![8; 9]);
-    world.check();
+    world.check_invariants();
 }
 
 #[test]
@@ -100,7 +102,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.hosts[*vm].store = false;
+        world.vms[*vm].store_reachable = false;
     }
     world.wake_watchers();
     world.configure(config(9));
@@ -116,12 +118,12 @@
     world.wake_watchers();
     world.run(Span::from_secs(3));
     for server in ["e0", "e1", "e2", "e3", "p0"] {
-        world.store.remove(&Subject::Server(name(server)));
+        world.store.remove(&EntryKey::Server(name(server)));
     }
     world.store_up = true;
     world.run(Span::from_millis(900));
     let asked: Vec<u64> = (0..12)
-        .map(|vm| world.ask(vm, support::setup::call("q", "/query/x", 2_000, None)))
+        .map(|vm| world.send_request(vm, support::setup::request("q", "/query/x", 2_000, None)))
         .collect();
     world.run(Span::from_millis(300));
     for number in asked {
@@ -141,7 +143,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.hosts[*vm].silent = true;
+        world.vms[*vm].store_silent = true;
     }
     world.configure(config(9));
     world.run(Span::from_millis(1_900));
@@ -162,8 +164,8 @@
     let step = Span::from_millis(10);
     for at in 0..500_u64 {
         let id = name(&format!("e{}", at % 4));
-        let fact = Fact::Server(world.servers[&id].1.clone());
-        world.store.put(Subject::Server(id), fact, 0);
+        let fact = EntryValue::Server(world.servers[&id].1.clone());
+        world.store.put(EntryKey::Server(id), fact, 0);
         world.wake_watchers();
         world.run(step);
     }
@@ -173,7 +175,7 @@
     // Each VM that follows asks and is answered each 300 ms, and the scheduler speaks to all five times a second.
     let sent = world.messages - sent;
     assert!(sent <= 2 * 9 * 17 + 11 * 5 * 6, "{sent} messages");
-    world.check();
+    world.check_invariants();
 }
 
 /// Where one of the VMs that watch for all stands still, those that followed it follow another one: with 300 VMs, a hundred
@@ -197,7 +199,7 @@
         assert!(watch <= 4, "{watch} watch");
         churn(&mut world, Span::from_secs(4));
     }
-    world.check();
+    world.check_invariants();
 }
 
 /// The key-value service cuts the watches of the VMs that watch for all and answers none of their calls, so that all others
@@ -210,7 +212,7 @@
     churn(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
-        world.hosts[*vm].silent = true;
+        world.vms[*vm].store_silent = true;
     }
     let calls = world.store.calls;
     churn(&mut world, Span::from_secs(4));
@@ -223,7 +225,7 @@
     // 21 VMs alone for ten seconds, each with a call in 400 ms and two renewals a second, and some lists and entries.
     let most = 21 * (25 + 20 + 10);
     assert!(calls <= most, "{calls} calls");
-    world.check();
+    world.check_invariants();
 }
 
 /// A configuration that is written right after an outage, while some VMs watch, some follow, and each hears of it by another
@@ -250,16 +252,16 @@
 #[test]
 fn news_toldearlierispassedon() {
     let world = calm(1);
-    let (subject, fact) = (Subject::Config, Fact::Config(Arc::new(config(9))));
+    let (key, value) = (EntryKey::Config, EntryValue::Config(Arc::new(config(9))));
     let config = Change {
-        subject,
+        key,
         revision: 5,
         created: 5,
-        fact: Some(fact),
+        value: Some(value),
     };
-    let mut table = Table::default();
+    let mut table = Snapshot::default();
     assert!(table.is_change(&config, 4));
-    assert!(table.apply(config.clone(), Way::Told));
+    assert!(table.apply(config.clone(), Delivery::LatestOnly));
     assert!(
         table.is_change(&config, 4),
         "the followers know all up to 4"
@@ -269,29 +271,29 @@
         let mut backend = (*world.servers[&name::<Server>("e0")].1).clone();
         backend.ready = ready;
         Change {
-            subject: Subject::Server(name("e0")),
+            key: EntryKey::Server(name("e0")),
             revision,
             created: 1,
-            fact: Some(Fact::Server(Arc::new(backend))),
+            value: Some(EntryValue::Server(Arc::new(backend))),
         }
     };
-    assert!(table.apply(entry(6, true), Way::Watched));
+    assert!(table.apply(entry(6, true), Delivery::EveryChange));
     assert!(!table.is_change(&entry(7, true), 6));
     assert!(table.is_change(&entry(7, false), 6));
-    assert!(table.apply(entry(8, true), Way::Told));
+    assert!(table.apply(entry(8, true), Delivery::LatestOnly));
     assert_eq!(table.after(6).count(), 1, "an entry of before may differ");
-    assert!(table.apply(entry(9, true), Way::Watched));
+    assert!(table.apply(entry(9, true), Delivery::EveryChange));
     assert_eq!(table.after(8).count(), 0);
 }
 
 /// Whether each VM has a plain request served.
 fn all_serve(world: &mut World) -> bool {
-    let vms = 0..world.hosts.len();
+    let vms = 0..world.vms.len();
     let asked: Vec<u64> = vms
-        .map(|vm| world.ask(vm, support::setup::call("q", "/query/x", 2_000, None)))
+        .map(|vm| world.send_request(vm, support::setup::request("q", "/query/x", 2_000, None)))
         .collect();
     world.run(Span::from_millis(400));
-    world.served_of(&asked) == asked.len()
+    world.count_served(&asked) == asked.len()
 }
 
 /// A server's entry goes and is there again as it was, both between two watches: VMs that follow hear of both, or they take the
@@ -300,7 +302,7 @@
 fn entry_goneandbackatonceisknown() {
     let mut world = calm(12);
     let (subject, back) = (
-        Subject::Server(name("p0")),
+        EntryKey::Server(name("p0")),
         world.servers[&name::<Server>("p0")].1.clone(),
     );
     // One such pair falls into a pause of each watcher.
@@ -308,13 +310,13 @@
         world.store.remove(&subject);
         world
             .store
-            .put(subject.clone(), Fact::Server(back.clone()), 0);
+            .put(subject.clone(), EntryValue::Server(back.clone()), 0);
         world.wake_watchers();
         churn(&mut world, Span::from_millis(100));
     }
     world.run(Span::from_secs(1));
     assert!(all_serve(&mut world));
-    world.check();
+    world.check_invariants();
 }
 
 /// All entries lapse in an outage, and servers write theirs again a second after it, as they were: nobody takes them for gone
@@ -328,16 +330,16 @@
         world.run(Span::from_secs(4));
         let ids = ["e0", "e1", "e2", "e3", "p0"];
         for server in ids {
-            world.store.remove(&Subject::Server(name(server)));
+            world.store.remove(&EntryKey::Server(name(server)));
         }
         world.store_up = true;
         world.run(Span::from_millis(back));
         for server in ids {
-            world.rewrite(server);
+            world.rewrite_server_entry(server);
         }
         world.run(Span::from_secs(4));
         assert!(all_serve(&mut world), "back after {back} ms");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -348,17 +350,17 @@
     let world = calm(1);
     let backend = world.servers[&name::<Server>("e0")].1.clone();
     let entry = |revision: u64| Change {
-        subject: Subject::Server(name("e0")),
+        key: EntryKey::Server(name("e0")),
         revision,
         created: 1,
-        fact: Some(Fact::Server(backend.clone())),
+        value: Some(EntryValue::Server(backend.clone())),
     };
-    let mut table = Table::default();
+    let mut table = Snapshot::default();
     assert!(table.differs(&entry(5)), "it is not known");
-    assert!(table.apply(entry(5), Way::Told));
+    assert!(table.apply(entry(5), Delivery::LatestOnly));
     assert!(!table.differs(&entry(6)));
     let gone = Change {
-        fact: None,
+        value: None,
         ..entry(7)
     };
     assert!(table.differs(&gone));
@@ -369,6 +371,6 @@
         }),
         "it is older"
     );
-    table.lapse(&Subject::Server(name("e0")));
+    table.lapse(&EntryKey::Server(name("e0")));
     assert!(table.differs(&entry(8)), "it is back");
 }
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -3,18 +3,18 @@
 mod support;
 
 use dahliastile_core::time::Span;
-use dahliastile_gateway::event::Call;
+use dahliastile_gateway::event::CallerRequest;
 use support::World;
-use support::setup::{call, work};
+use support::setup::{request, work};
 
 fn loads(world: &World) -> u32 {
     world.servers.values().map(|(engine, _)| engine.loads).sum()
 }
 
 /// A request for the busiest adapter: 2,400 tokens.
-fn busy(at: usize) -> Call {
+fn busy(at: usize) -> CallerRequest {
     let work = work("a1", 2_400, 20);
-    call(&format!("r{at}"), "/plan/x", 5_000, Some(work))
+    request(&format!("r{at}"), "/plan/x", 5_000, Some(work))
 }
 
 /// How many of those that were refused were held for long first.
@@ -30,10 +30,10 @@
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
     // 25 requests a second of 2,400 tokens are three engines' work at 20 tokens a millisecond.
-    let numbers = world.ask_all(150, Span::from_millis(40), busy);
+    let numbers = world.send_requests(150, Span::from_millis(40), busy);
     world.run(Span::from_secs(5));
     let ordered = world
-        .lines
+        .log_lines
         .iter()
         .filter(|line| line.contains("LoadOrdered"))
         .count();
@@ -43,8 +43,8 @@
         loads(&world)
     );
     assert!(loads(&world) >= 3, "{} loads", loads(&world));
-    assert_eq!(world.served_of(&numbers), numbers.len());
-    world.check();
+    assert_eq!(world.count_served(&numbers), numbers.len());
+    world.check_invariants();
 }
 
 /// Rare adapters asked for at once, twice as many a second as can be loaded (32): who can't be served in time is refused
@@ -55,12 +55,12 @@
     world.run(Span::from_secs(2));
     let rare = |at| {
         let work = work(&format!("a{at}"), 800, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(320, Span::from_millis(15), rare);
+    let numbers = world.send_requests(320, Span::from_millis(15), rare);
     world.run(Span::from_secs(16));
-    let good = world.served_of(&numbers);
-    let refused = world.refused_of(&numbers);
+    let good = world.count_served(&numbers);
+    let refused = world.refusal_delays(&numbers);
     let late = late(&refused);
     assert_eq!(good + refused.len(), numbers.len());
     assert!(
@@ -70,7 +70,7 @@
     );
     // 4.8 s of loads at 32 a second.
     assert!(good >= 120, "{good} served");
-    world.check();
+    world.check_invariants();
 }
 
 /// The same with one busy adapter at five engines' work on four engines: its queue is told apart from a short burst.
@@ -78,10 +78,10 @@
 fn hot_beyondtheenginesisrefusedatonce() {
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
-    let numbers = world.ask_all(240, Span::from_millis(24), busy);
+    let numbers = world.send_requests(240, Span::from_millis(24), busy);
     world.run(Span::from_secs(6));
-    let good = world.served_of(&numbers);
-    let refused = world.refused_of(&numbers);
+    let good = world.count_served(&numbers);
+    let refused = world.refusal_delays(&numbers);
     let late = late(&refused);
     assert_eq!(good + refused.len(), numbers.len());
     assert!(
@@ -90,7 +90,7 @@
         refused.len()
     );
     assert!(good * 10 >= numbers.len() * 7, "{good} served");
-    world.check();
+    world.check_invariants();
 }
 
 /// Loads from the weight store and requests that came before their adapter was there, of 600 requests that go round 48
@@ -99,19 +99,19 @@
 fn round(beside: usize) -> (u32, usize) {
     let mut world = World::new(3, 4, 1);
     for (engine, _) in world.servers.values_mut() {
-        engine.room_beside = beside;
+        engine.local_copy_capacity = beside;
     }
     world.run(Span::from_secs(2));
     let rare = |at| {
         let work = work(&format!("a{}", at * 5 % 48), 800, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(600, Span::from_millis(40), rare);
+    let numbers = world.send_requests(600, Span::from_millis(40), rare);
     world.run(Span::from_secs(16));
-    assert_eq!(world.served_of(&numbers), numbers.len());
-    world.check();
+    assert_eq!(world.count_served(&numbers), numbers.len());
+    world.check_invariants();
     let fetches = world.servers.values().map(|(engine, _)| engine.fetches);
-    let arrivals = numbers.iter().map(|number| world.asked[number].arrivals);
+    let arrivals = numbers.iter().map(|number| world.requests[number].arrivals);
     let early = arrivals.filter(|arrivals| *arrivals > 1).count();
     (fetches.sum(), early)
 }
@@ -142,19 +142,19 @@
     world.run(Span::from_secs(2));
     let rare = |at| {
         let work = work(&format!("a{at}"), 3_000, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(16, Span::ZERO, rare);
+    let numbers = world.send_requests(16, Span::ZERO, rare);
     world.run(Span::from_secs(5));
     let begun = numbers
         .iter()
-        .filter_map(|number| world.first_piece(*number));
+        .filter_map(|number| world.time_to_first_chunk(*number));
     let begun: Vec<Span> = begun.collect();
     let latest = begun.iter().max().copied();
     assert_eq!(begun.len(), numbers.len());
     // Two loads of 250 ms in turn at most, as the weight store bears eight at once, then two prompts.
     assert!(latest < Some(Span::from_millis(850)), "{latest:?}");
-    world.check();
+    world.check_invariants();
 }
 
 /// Rare adapters with long prompts and answers of a second, at nearly all that four engines read and hold: an adapter that was loaded waits there for its turn to be
@@ -166,15 +166,15 @@
     // 6,000 tokens take 300 ms, so that four engines read 13.3 a second; twelve are asked for.
     let long = |at| {
         let work = work(&format!("a{at}"), 6_000, 100);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
-    let numbers = world.ask_all(120, Span::from_millis(82), long);
+    let numbers = world.send_requests(120, Span::from_millis(82), long);
     world.run(Span::from_secs(16));
     let fetches = world.servers.values().map(|(engine, _)| engine.fetches);
     let fetches: u32 = fetches.sum();
     assert!(fetches <= 126, "{fetches} fetches for 120 adapters");
-    assert_eq!(world.served_of(&numbers), numbers.len());
-    world.check();
+    assert_eq!(world.count_served(&numbers), numbers.len());
+    world.check_invariants();
 }
 
 /// Prompts of 2,400 tokens (120 ms) at three quarters of what four engines read, in bursts of eight: an engine reads one, and takes the
@@ -185,15 +185,18 @@
     world.run(Span::from_secs(2));
     let adapter = |at| {
         let work = work(&format!("a{}", at % 4), 2_400, 20);
-        call(&format!("r{at}"), "/brief/x", 15_000, Some(work))
+        request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     for _ in 0..12 {
-        world.ask_all(8, Span::ZERO, adapter);
+        world.send_requests(8, Span::ZERO, adapter);
         world.run(Span::from_millis(320));
     }
     world.run(Span::from_secs(5));
-    let longest = world.servers.values().map(|(engine, _)| engine.reading.1);
+    let longest = world
+        .servers
+        .values()
+        .map(|(engine, _)| engine.prefill_busy.1);
     let longest = longest.max().expect("engines");
     assert!(longest <= Span::from_millis(120), "{longest}");
-    world.check();
+    world.check_invariants();
 }
