--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -6,12 +6,12 @@
 mod support;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::Subject;
+use dahliastile_gateway::cluster::snapshot::EntryKey;
 use dahliastile_gateway::settings::Tuning;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::World;
-use support::setup::{ENGINES, call, config, draft, name, work};
+use support::setup::{ENGINES, adapter_request, config, name, request, work};
 
 /// A fleet at engines that don't check fencing numbers.
 fn unfenced() -> World {
@@ -19,22 +19,31 @@
         fencing: false,
         ..Tuning::default()
     };
-    let mut world = World::tuned(4, 4, 1, tuning);
+    let mut world = World::with_tuning(4, 4, 1, tuning);
     world.run(Span::from_secs(2));
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     world
 }
 
 /// Once an engine has taken an order of one holder, it takes none of the holder before.
 fn one_at_a_time(world: &World) {
     for (engine, _) in world.servers.values() {
-        let fences: Vec<u64> = engine.fences.iter().map(|(_, fence)| *fence).collect();
-        assert!(fences.is_sorted(), "{}: {:?}", engine.id, engine.fences);
+        let fences: Vec<u64> = engine
+            .accepted_fences
+            .iter()
+            .map(|(_, fence)| *fence)
+            .collect();
+        assert!(
+            fences.is_sorted(),
+            "{}: {:?}",
+            engine.id,
+            engine.accepted_fences
+        );
         assert!(
-            engine.late_fence.is_none(),
+            engine.stale_fence.is_none(),
             "{}: {:?}",
             engine.id,
-            engine.late_fence
+            engine.stale_fence
         );
     }
 }
@@ -42,8 +51,11 @@
 /// Cold requests at all VMs, every 25 ms at each, so often.
 fn cold_everywhere(world: &mut World, times: usize) {
     for at in 0..times * 4 {
-        for vm in 0..world.hosts.len() {
-            world.ask(vm, draft(&format!("e{at}-{vm}"), &format!("e{at}-{vm}")));
+        for vm in 0..world.vms.len() {
+            world.send_request(
+                vm,
+                adapter_request(&format!("e{at}-{vm}"), &format!("e{at}-{vm}")),
+            );
         }
         world.run(Span::from_millis(25));
     }
@@ -62,7 +74,7 @@
     assert_eq!(world.holder(), Some(old));
     world.run(Span::from_secs(2));
     assert_ne!(world.holder(), Some(old), "since {from}");
-    world.check();
+    world.check_invariants();
 }
 
 /// Engines that don't check fencing numbers: a holder that reaches neither the key-value service nor the other VMs, but all
@@ -71,14 +83,17 @@
 fn holder_unfencedstopsbeforeitsleaseends() {
     let mut world = unfenced();
     let old = world.holder().expect("a holder");
-    world.hosts[old].store = false;
-    world.hosts[old].peers = false;
+    world.vms[old].store_reachable = false;
+    world.vms[old].peers_reachable = false;
     world.wake_watchers();
     let mut gone = None;
     for at in 0..400_u32 {
         if at % 4 == 0 {
             let draft = work(&format!("c{at}"), 600, 15);
-            world.ask(old, call(&format!("c{at}"), "/plan/x", 5_000, Some(draft)));
+            world.send_request(
+                old,
+                request(&format!("c{at}"), "/plan/x", 5_000, Some(draft)),
+            );
         }
         world.run(Span::from_millis(10));
         if gone.is_none() && world.holder() != Some(old) {
@@ -89,7 +104,7 @@
     let fences = world
         .servers
         .values()
-        .flat_map(|(engine, _)| &engine.fences);
+        .flat_map(|(engine, _)| &engine.accepted_fences);
     let first = fences
         .clone()
         .map(|(_, fence)| *fence)
@@ -99,7 +114,7 @@
         .filter(|(at, fence)| *fence == first && *at >= gone)
         .count();
     assert_eq!(late, 0);
-    world.check();
+    world.check_invariants();
 }
 
 /// Engines that don't check fencing numbers, and the key-value service is away for five seconds: the holder stops in time, its
@@ -111,20 +126,20 @@
         let mut world = unfenced();
         world.store_up = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_secs(5));
+        world.send_light_load(Span::from_secs(5));
         if lapse {
             world.store.expire(Instant::NEVER);
         }
         world.store_up = true;
         world.run(Span::from_millis(1_000));
-        let cold = world.ask(
+        let cold = world.send_request(
             0,
-            call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+            request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
         );
         world.run(Span::from_secs(4));
-        let first = world.first_piece(cold).expect("served");
+        let first = world.time_to_first_chunk(cold).expect("served");
         assert!(first < Span::from_millis(1_500), "{first}, lapse {lapse}");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -137,13 +152,13 @@
         world.run(Span::from_secs(2));
         world.store_up = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_secs(away));
+        world.send_light_load(Span::from_secs(away));
         world.store_up = true;
-        world.quiet_night(Span::from_secs(3));
+        world.send_light_load(Span::from_secs(3));
         for vm in 0..6 {
             let said = |word: &str| {
                 let lines = world
-                    .lines
+                    .log_lines
                     .iter()
                     .filter(|line| line.contains(&format!(" vm{vm} ")));
                 lines.filter(|line| line.contains(word)).count()
@@ -155,11 +170,11 @@
             );
         }
         let lost = world
-            .lines
+            .log_lines
             .iter()
             .filter(|line| line.contains("PlatformLost"));
         assert!(lost.count() >= 3);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -171,14 +186,14 @@
     let old = world.holder();
     world.store_up = false;
     world.wake_watchers();
-    let cold = |at: usize| draft(&format!("c{at}"), &format!("cold{at}"));
-    let numbers = world.ask_all(80, Span::from_millis(100), cold);
+    let cold = |at: usize| adapter_request(&format!("c{at}"), &format!("cold{at}"));
+    let numbers = world.send_requests(80, Span::from_millis(100), cold);
     world.store_up = true;
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(world.holder(), old);
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
 
 /// The same while VMs stand still, are cut off, killed and started anew, stopped, or reach the service though the holder does
@@ -190,23 +205,25 @@
         let mut world = unfenced();
         world.rng = ChaCha8Rng::seed_from_u64(seed);
         for step in 0..60 {
-            let vm = world.rng.random_range(0..world.hosts.len());
+            let vm = world.rng.random_range(0..world.vms.len());
             match world.rng.random_range(0..24) {
                 0 | 1 => world.store_up = !world.store_up,
                 2 => world.store.expire(Instant::NEVER),
                 3 => world.kill(vm, false),
                 4 => world.freeze(vm, Span::from_millis(1_500)),
-                5 => world.hosts[vm].store = !world.hosts[vm].store,
-                6 => world.hosts[vm].peers = !world.hosts[vm].peers,
-                7 => world.hosts[vm].silent = !world.hosts[vm].silent,
+                5 => world.vms[vm].store_reachable = !world.vms[vm].store_reachable,
+                6 => world.vms[vm].peers_reachable = !world.vms[vm].peers_reachable,
+                7 => world.vms[vm].store_silent = !world.vms[vm].store_silent,
                 _ => {}
             }
             world.wake_watchers();
-            let cold = |at: usize| draft(&format!("c{step}-{at}"), &format!("a{}", step % 30 + at));
-            world.ask_all(2, Span::from_millis(100), cold);
+            let cold = |at: usize| {
+                adapter_request(&format!("c{step}-{at}"), &format!("a{}", step % 30 + at))
+            };
+            world.send_requests(2, Span::from_millis(100), cold);
         }
         one_at_a_time(&world);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -217,14 +234,14 @@
     for cut in [1_400, 1_600, 1_800, 2_000, 2_200] {
         let mut world = unfenced();
         let old = world.holder().expect("a holder");
-        world.hosts[old].store = false;
+        world.vms[old].store_reachable = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_millis(cut));
-        world.hosts[old].peers = false;
+        world.send_light_load(Span::from_millis(cut));
+        world.vms[old].peers_reachable = false;
         cold_everywhere(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
         one_at_a_time(&world);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -237,16 +254,16 @@
         let old = world.holder().expect("a holder");
         world.store_up = false;
         world.wake_watchers();
-        world.quiet_night(Span::from_millis(3_000 + apart));
-        world.hosts[old].store = false;
-        world.hosts[old].peers = false;
-        world.store.remove(&Subject::Holder(name(ENGINES)));
+        world.send_light_load(Span::from_millis(3_000 + apart));
+        world.vms[old].store_reachable = false;
+        world.vms[old].peers_reachable = false;
+        world.store.remove(&EntryKey::Holder(name(ENGINES)));
         world.store_up = true;
         world.wake_watchers();
         cold_everywhere(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
         one_at_a_time(&world);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -260,14 +277,14 @@
         fencing: false,
         ..Tuning::default()
     };
-    let mut world = World::uneven(&strengths, 4, 1, tuning);
+    let mut world = World::with_strengths(&strengths, 4, 1, tuning);
     world.run(Span::from_secs(3));
     assert_eq!(world.holder(), Some(4));
     world.kill(4, true);
-    world.quiet_night(Span::from_secs(6));
+    world.send_light_load(Span::from_secs(6));
     assert!([Some(2), Some(6)].contains(&world.holder()));
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
 
 /// The same where the strong VMs are 0.2 s behind the others with their leases, and the first configuration comes a moment later: weak
@@ -289,7 +306,7 @@
         world.run(Span::from_secs(3));
         let holder = world.holder().expect("a scheduler");
         assert!(strengths[holder] >= 25, "VM {holder} after {late} ms");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -305,23 +322,23 @@
         lease_guard: Span::from_millis(1_500),
         ..Tuning::default()
     };
-    let mut world = World::uneven(&strengths, 4, 1, tuning);
+    let mut world = World::with_strengths(&strengths, 4, 1, tuning);
     world.run(Span::from_secs(4));
     assert_eq!(world.holder(), Some(2));
     for _ in 0..3 {
-        world.hosts[2].silent = true;
-        world.quiet_night(Span::from_millis(3_200));
-        world.hosts[2].silent = false;
-        world.quiet_night(Span::from_millis(500));
+        world.vms[2].store_silent = true;
+        world.send_light_load(Span::from_millis(3_200));
+        world.vms[2].store_silent = false;
+        world.send_light_load(Span::from_millis(500));
     }
     assert_eq!(world.holder(), Some(1));
     let taken = world
-        .lines
+        .log_lines
         .iter()
         .filter(|line| line.contains("LeaseTaken"));
     assert_eq!(taken.count(), 3);
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
 
 /// All processes are killed and start again where engines don't check fencing numbers: the old holder finds its own key, which nobody
@@ -335,13 +352,13 @@
     }
     // They start again after 400 ms.
     world.run(Span::from_millis(410));
-    let cold = world.ask(
+    let cold = world.send_request(
         (old + 1) % 4,
-        call("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
     );
     world.run(Span::from_secs(4));
-    let first = world.first_piece(cold).expect("served");
+    let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(450), "{first}");
     one_at_a_time(&world);
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -8,9 +8,9 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::cluster::fact::{Backend, Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use support::World;
-use support::setup::{ENGINES, draft, name};
+use support::setup::{ENGINES, adapter_request, name};
 
 /// The pause between two requests.
 const PAUSE: Span = Span::from_millis(40);
@@ -18,19 +18,19 @@
 fn warm() -> World {
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
-    world.quiet_night(Span::from_secs(2));
+    world.send_light_load(Span::from_secs(2));
     world
 }
 
 /// Arrivals at servers of these requests beyond the first of each.
 fn again(world: &World, numbers: &[u64]) -> u32 {
-    let arrivals = numbers.iter().map(|number| world.asked[number].arrivals);
+    let arrivals = numbers.iter().map(|number| world.requests[number].arrivals);
     arrivals.map(|arrivals| arrivals.saturating_sub(1)).sum()
 }
 
 fn lines(world: &World, code: &str) -> usize {
     world
-        .lines
+        .log_lines
         .iter()
         .filter(|line| line.contains(code))
         .count()
@@ -45,12 +45,12 @@
         let mut world = warm();
         world.restart_server("e1", start);
         world.run(Span::from_millis(20));
-        let numbers = world.quiet_night(Span::from_secs(3));
+        let numbers = world.send_light_load(Span::from_secs(3));
         world.run(Span::from_secs(5));
-        assert_eq!(world.served_of(&numbers), numbers.len());
+        assert_eq!(world.count_served(&numbers), numbers.len());
         assert_eq!(again(&world, &numbers), 0, "start {start}");
         assert_eq!(lines(&world, "ServerRestarted"), 3);
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -59,19 +59,19 @@
 #[test]
 fn engine_restartedmeetslateorders() {
     let mut world = warm();
-    world.late_orders = 0.5;
+    world.delayed_order_share = 0.5;
     let mut numbers = Vec::new();
     for start in 2..14 {
         let engine = format!("e{}", start % 4);
         world.restart_server(&engine, start);
-        numbers.extend(world.quiet_night(Span::from_secs(1)));
+        numbers.extend(world.send_light_load(Span::from_secs(1)));
     }
-    world.late_orders = 0.0;
-    numbers.extend(world.quiet_night(Span::from_secs(14)));
+    world.delayed_order_share = 0.0;
+    numbers.extend(world.send_light_load(Span::from_secs(14)));
     world.run(Span::from_secs(5));
-    let (all, good) = (numbers.len(), world.served_of(&numbers));
+    let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 10 >= all * 9, "{good} of {all}");
-    world.check();
+    world.check_invariants();
 }
 
 /// The last write of the earlier start is carried out after the first one of the later: the engine's report tells which of
@@ -81,13 +81,13 @@
     let mut world = warm();
     let (_, earlier) = world.servers[&name::<Server>("e1")].clone();
     world.restart_server("e1", 2);
-    world.quiet_night(Span::from_secs(2));
-    world.write(Subject::Server(name("e1")), Fact::Server(earlier));
-    let numbers = world.quiet_night(Span::from_secs(3));
+    world.send_light_load(Span::from_secs(2));
+    world.write_entry(EntryKey::Server(name("e1")), EntryValue::Server(earlier));
+    let numbers = world.send_light_load(Span::from_secs(3));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(again(&world, &numbers), 0);
-    world.check();
+    world.check_invariants();
 }
 
 /// What runs at an engine when it starts again is not counted there any more, though nobody hears of its end.
@@ -96,21 +96,21 @@
     let mut world = World::new(1, 1, 1);
     world.run(Span::from_secs(2));
     let long = |at: usize| {
-        support::setup::call(
+        support::setup::request(
             &format!("l{at}"),
             "/brief/x",
             15_000,
             Some(support::setup::work(&format!("a{at}"), 600, 1_200)),
         )
     };
-    world.ask_all(5, PAUSE, long);
+    world.send_requests(5, PAUSE, long);
     world.run(Span::from_secs(1));
     world.restart_server("e0", 2);
     world.run(Span::from_millis(400));
-    let number = world.ask(0, draft("r", "a9"));
+    let number = world.send_request(0, adapter_request("r", "a9"));
     world.run(Span::from_secs(2));
-    assert!(world.first_piece(number).is_some());
-    world.check();
+    assert!(world.time_to_first_chunk(number).is_some());
+    world.check_invariants();
 }
 
 /// An entry that can't be read names no server, and the other entries hold; one line a second tells of them, however many
@@ -130,12 +130,12 @@
         } else {
             format!("x{at}")
         };
-        world.write(Subject::Server(name(&spoilt)), Fact::Unreadable);
+        world.write_entry(EntryKey::Server(name(&spoilt)), EntryValue::Unreadable);
     }
     world.run(Span::from_millis(200));
-    let numbers = world.quiet_night(Span::from_secs(2));
+    let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
+    assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(again(&world, &numbers), 0);
     assert!(
         lines(&world, "EntryUnreadable") <= 9,
@@ -143,10 +143,10 @@
         lines(&world, "EntryUnreadable")
     );
     world.restart_server("e1", 2);
-    let back = world.quiet_night(Span::from_secs(1));
+    let back = world.send_light_load(Span::from_secs(1));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&back), back.len());
-    world.check();
+    assert_eq!(world.count_served(&back), back.len());
+    world.check_invariants();
 }
 
 /// Where servers tell their starts, an entry without one is another program's.
@@ -159,33 +159,36 @@
         start: None,
         ..(*good).clone()
     };
-    world.write(Subject::Server(name("p9")), Fact::Server(Arc::new(nowhere)));
+    world.write_entry(
+        EntryKey::Server(name("p9")),
+        EntryValue::Server(Arc::new(nowhere)),
+    );
     world.run(Span::from_millis(200));
-    let post = |at| support::setup::call(&format!("p{at}"), "/post/x", 2_000, None);
-    let numbers = world.ask_all(40, PAUSE, post);
+    let post = |at| support::setup::request(&format!("p{at}"), "/post/x", 2_000, None);
+    let numbers = world.send_requests(40, PAUSE, post);
     world.run(Span::from_secs(3));
-    assert_eq!(world.served_of(&numbers), 40);
+    assert_eq!(world.count_served(&numbers), 40);
     assert_eq!(again(&world, &numbers), 0);
-    world.check();
+    world.check_invariants();
 }
 
 /// A leadership's entry that can't be read is taken like a free one, and the operator's words stay in force.
 #[test]
 fn entry_unreadablefreestheseat() {
     let mut world = warm();
-    world.name_version("a1", 3);
-    world.write(Subject::Config, Fact::Unreadable);
-    world.write(
-        Subject::Version("base".into(), "a1".into()),
-        Fact::Unreadable,
+    world.publish_version("a1", 3);
+    world.write_entry(EntryKey::Config, EntryValue::Unreadable);
+    world.write_entry(
+        EntryKey::Version("base".into(), "a1".into()),
+        EntryValue::Unreadable,
     );
-    world.write(Subject::Holder(name(ENGINES)), Fact::Unreadable);
+    world.write_entry(EntryKey::Holder(name(ENGINES)), EntryValue::Unreadable);
     world.run(Span::from_secs(3));
     assert!(world.holder().is_some());
-    let numbers = world.quiet_night(Span::from_secs(2));
+    let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
-    assert_eq!(world.served_of(&numbers), numbers.len());
-    world.check();
+    assert_eq!(world.count_served(&numbers), numbers.len());
+    world.check_invariants();
 }
 
 /// A version of one adapter every 300 ms, while it is asked for every 40 ms and by long answers too, as when an adapter is
@@ -196,25 +199,27 @@
     let mut world = warm();
     let mut numbers = Vec::new();
     for version in 2..22 {
-        world.name_version("a5", version);
+        world.publish_version("a5", version);
         let call = |at: usize| match at {
-            0 => support::setup::call(
+            0 => support::setup::request(
                 &format!("l{version}"),
                 "/brief/x",
                 15_000,
                 Some(support::setup::work("a5", 600, 200)),
             ),
-            _ => draft(&format!("v{version}-{at}"), "a5"),
+            _ => adapter_request(&format!("v{version}-{at}"), "a5"),
         };
-        numbers.extend(world.ask_all(7, PAUSE, call));
+        numbers.extend(world.send_requests(7, PAUSE, call));
     }
     world.run(Span::from_secs(5));
-    let last = world.ask_all(10, PAUSE, |at| draft(&format!("z{at}"), "a5"));
+    let last = world.send_requests(10, PAUSE, |at| adapter_request(&format!("z{at}"), "a5"));
     world.run(Span::from_secs(9));
-    let (all, good) = (numbers.len(), world.served_of(&numbers));
+    let (all, good) = (numbers.len(), world.count_served(&numbers));
     assert!(good * 100 >= all * 95, "{good} of {all}");
-    assert_eq!(world.served_of(&last), last.len());
-    let ran = last.iter().flat_map(|number| &world.asked[number].versions);
+    assert_eq!(world.count_served(&last), last.len());
+    let ran = last
+        .iter()
+        .flat_map(|number| &world.requests[number].versions);
     assert!(ran.clone().count() > 0 && ran.clone().all(|(_, ran)| *ran == 21));
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -15,7 +15,7 @@
 fn fleet() -> World {
     let strength = |vm| if vm < STRONG { 50 } else { 12 };
     let strengths: Vec<u32> = (0..VMS).map(strength).collect();
-    let mut world = World::uneven(&strengths, 4, 1, Tuning::default());
+    let mut world = World::with_strengths(&strengths, 4, 1, Tuning::default());
     world.run(Span::from_secs(6));
     world
 }
@@ -37,7 +37,7 @@
         }
         let holder = world.holder().expect("a holder");
         assert!(holder < STRONG, "after {tenths}00 ms vm{holder} holds");
-        world.check();
+        world.check_invariants();
     }
 }
 
@@ -58,7 +58,7 @@
     world.run(Span::from_millis(1_800));
     let holder = world.holder().expect("a holder");
     assert!(holder < STRONG, "vm{holder} holds");
-    world.check();
+    world.check_invariants();
 }
 
 /// The strongest VMs see by their links that the holder is gone, before its silence is long enough for all: the first of them does not
@@ -70,8 +70,8 @@
     let strong: Vec<usize> = (0..STRONG).filter(|vm| *vm != old).collect();
     let ask = |world: &mut World, at: usize| {
         for vm in &strong {
-            let call = support::setup::draft(&format!("r{at}"), "a1");
-            world.ask(*vm, call);
+            let call = support::setup::adapter_request(&format!("r{at}"), "a1");
+            world.send_request(*vm, call);
         }
         world.run(Span::from_millis(20));
     };
@@ -80,7 +80,7 @@
     (50..70).for_each(|at| ask(&mut world, at));
     let new = world.holder().expect("a holder");
     assert!(strong.contains(&new), "vm{new} holds");
-    world.check();
+    world.check_invariants();
 }
 
 /// All strong VMs are away when the leadership becomes free, and come back. The weak VM that has it falls behind, as each run takes it a
@@ -88,20 +88,20 @@
 #[test]
 fn strong_backgetstheseat() {
     let mut world = fleet();
-    for host in &mut world.hosts[STRONG..] {
-        host.work = (Span(200), Span::from_millis(20));
+    for host in &mut world.vms[STRONG..] {
+        host.cpu_cost = (Span(200), Span::from_millis(20));
     }
     for vm in 0..STRONG {
         world.kill(vm, true);
     }
-    world.quiet_night(Span::from_secs(10));
+    world.send_light_load(Span::from_secs(10));
     let weak = world.holder().expect("a holder");
     assert!(weak >= STRONG, "vm{weak} holds");
     for vm in 0..STRONG {
         world.kill(vm, false);
     }
-    world.quiet_night(Span::from_secs(10));
+    world.send_light_load(Span::from_secs(10));
     let holder = world.holder().expect("a holder");
     assert!(holder < STRONG, "vm{holder} holds");
-    world.check();
+    world.check_invariants();
 }
--- a/crates/gateway/tests/support/accounts.rs
+++ b/crates/gateway/tests/support/accounts.rs
@@ -5,10 +5,10 @@
 
 use dahliastile_core::id::Tenant;
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::account::key::Key;
-use dahliastile_gateway::account::{Account, Limit, Rate, Tokens, Unit};
+use dahliastile_gateway::account::key::AccountKey;
+use dahliastile_gateway::account::{Account, TokenLimit, TokenRate, Tokens, Unit};
 use dahliastile_gateway::config::Config;
-use dahliastile_gateway::event::Call;
+use dahliastile_gateway::event::CallerRequest;
 use dahliastile_gateway::settings::Tuning;
 
 use super::setup::{self, name};
@@ -21,7 +21,7 @@
 /// The tokens by which it may besides.
 const SLACK: f64 = 17_000.0;
 /// What a request counts as: the mean of the deployment with accounts.
-pub const COST: Tokens = Tokens(2_400);
+pub const TOKENS_PER_REQUEST: Tokens = Tokens(2_400);
 
 /// The figures of the deployment with accounts.
 pub fn tuning() -> Tuning {
@@ -34,14 +34,14 @@
 }
 
 /// A key by its text.
-pub fn key(text: &str) -> Key {
-    Key::of(text.as_bytes()).expect("a key")
+pub fn key(text: &str) -> AccountKey {
+    AccountKey::of(text.as_bytes()).expect("a key")
 }
 
 /// An account with these keys and a limit in tokens a second, as much being allowed at once; 0 for no limit.
 pub fn account(name: &str, keys: &[&str], rate: u64) -> Arc<Account> {
-    let limit = Limit {
-        rate: Rate(rate),
+    let limit = TokenLimit {
+        rate: TokenRate(rate),
         burst: Tokens(rate),
     };
     Arc::new(Account {
@@ -62,28 +62,28 @@
 }
 
 /// A request to the plain service that bears a key.
-pub fn call(id: &str, text: &str) -> Call {
-    Call {
+pub fn request(id: &str, text: &str) -> CallerRequest {
+    CallerRequest {
         key: Some(key(text)),
-        tokens: Some(COST),
-        ..setup::call(id, "/query/x", 1_500, None)
+        tokens: Some(TOKENS_PER_REQUEST),
+        ..setup::request(id, "/query/x", 1_500, None)
     }
 }
 
 /// What a window may see of an account with a limit.
-pub fn allowed(rate: u64) -> f64 {
-    let rate = Rate(rate).as_f64();
+pub fn allowed_in_window(rate: u64) -> f64 {
+    let rate = TokenRate(rate).as_f64();
     (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVERAGE) + SLACK
 }
 
 /// The most tokens of an account that ran in any window.
-pub fn worst_window(world: &World, account: &str) -> f64 {
+pub fn peak_window_tokens(world: &World, account: &str) -> f64 {
     let account: Tenant = name(account);
     let mut runs: Vec<(Instant, f64)> = Vec::new();
-    for asked in world.asked.values() {
+    for asked in world.requests.values() {
         for ((at, _), named) in asked.runs.iter().zip(&asked.accounts) {
             if named.as_ref() == Some(&account) {
-                runs.push((*at, asked.call.tokens.unwrap_or(Tokens(200)).as_f64()));
+                runs.push((*at, asked.request.tokens.unwrap_or(Tokens(200)).as_f64()));
             }
         }
     }
@@ -101,15 +101,19 @@
 }
 
 /// How many of the requests of each key that were sent in a time were served, and how many were sent.
-pub fn shares(world: &World, from: Instant, until: Instant) -> BTreeMap<String, (usize, usize)> {
+pub fn served_and_sent(
+    world: &World,
+    from: Instant,
+    until: Instant,
+) -> BTreeMap<String, (usize, usize)> {
     let mut shares: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     let sent = world
-        .asked
+        .requests
         .values()
         .filter(|a| a.at >= from && a.at < until);
     for asked in sent {
         let who = asked
-            .call
+            .request
             .id
             .split('-')
             .next()
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -5,9 +5,9 @@
 
 use dahliastile_core::id::{Incarnation, Server};
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Base, Resident};
+use dahliastile_gateway::cluster::snapshot::{Resident, ResidentModel};
 use dahliastile_gateway::effect::Order;
-use dahliastile_gateway::event::{Ordered, Report};
+use dahliastile_gateway::event::{OrderOutcome, Report};
 
 use super::setup::MODEL;
 
@@ -43,7 +43,7 @@
     /// Its adapters.
     pub slots: BTreeMap<Arc<str>, Slot>,
     /// Whether it holds the base model, and from when on.
-    pub base: Option<Instant>,
+    pub base_ready_at: Option<Instant>,
     /// Adapters that it holds at most.
     pub places: usize,
     /// Orders accepted.
@@ -53,15 +53,15 @@
     /// When the prompts given to it are read.
     pub free: Instant,
     /// When it began to read without a gap, and the longest that it did so.
-    pub reading: (Instant, Span),
+    pub prefill_busy: (Instant, Span),
     /// Whether it answers at all.
     pub up: bool,
     /// Why it crashed, if it did.
     pub crash: Option<String>,
     /// The fencing numbers of the orders it accepted, with their times.
-    pub fences: Vec<(Instant, u64)>,
+    pub accepted_fences: Vec<(Instant, u64)>,
     /// The last order under a lower number than one before, and when it came.
-    pub late_fence: Option<(Instant, u64)>,
+    pub stale_fence: Option<(Instant, u64)>,
     /// Whether it turns requests away.
     pub resting: bool,
     /// Whether it fails what it runs.
@@ -73,7 +73,7 @@
     /// Copies of adapters that lie beside it, the last one used last.
     pub beside: Vec<Arc<str>>,
     /// How many do.
-    pub room_beside: usize,
+    pub local_copy_capacity: usize,
     /// Its start.
     pub start: Incarnation,
 }
@@ -85,22 +85,22 @@
             id: super::setup::name(id),
             adapters: engine,
             slots: BTreeMap::new(),
-            base: Some(Instant::default()),
+            base_ready_at: Some(Instant::default()),
             places,
             orders: 0,
             fence: 0,
             free: Instant::default(),
-            reading: (Instant::default(), Span::ZERO),
+            prefill_busy: (Instant::default(), Span::ZERO),
             up: true,
             crash: None,
-            fences: Vec::new(),
-            late_fence: None,
+            accepted_fences: Vec::new(),
+            stale_fence: None,
             resting: false,
             failing: false,
             loads: 0,
             fetches: 0,
             beside: Vec::new(),
-            room_beside: BESIDE,
+            local_copy_capacity: BESIDE,
             start: Incarnation(1),
         }
     }
@@ -109,7 +109,7 @@
     pub fn restart(&mut self, now: Instant, start: Incarnation) {
         self.slots.clear();
         self.beside.clear();
-        self.base = Some(now);
+        self.base_ready_at = Some(now);
         self.orders = 0;
         self.fence = 0;
         self.free = Instant::default();
@@ -118,41 +118,41 @@
     }
 
     /// Carries an order out.
-    pub fn order(&mut self, now: Instant, newest: u64, order: &Order) -> Ordered {
+    pub fn order(&mut self, now: Instant, newest: u64, order: &Order) -> OrderOutcome {
         match order {
             _ if order.fence < self.fence => {
-                self.late_fence = Some((now, order.fence));
-                return Ordered::Fenced;
+                self.stale_fence = Some((now, order.fence));
+                return OrderOutcome::Fenced;
             }
-            _ if order.expected != self.orders => return Ordered::Conflict,
+            _ if order.expected != self.orders => return OrderOutcome::Conflict,
             _ => self.fence = order.fence,
         }
         let Some(adapter) = &order.adapter else {
             self.orders += 1;
-            self.base = Some(now + Span::from_millis(720));
-            return Ordered::Accepted;
+            self.base_ready_at = Some(now + Span::from_millis(720));
+            return OrderOutcome::Accepted;
         };
-        if self.base.is_none_or(|at| at > now) {
-            return Ordered::Invalid;
+        if self.base_ready_at.is_none_or(|at| at > now) {
+            return OrderOutcome::Invalid;
         }
-        self.fences.push((now, order.fence));
+        self.accepted_fences.push((now, order.fence));
         let outcome = if order.load {
             self.load(now, adapter, order.version.unwrap_or(newest))
         } else {
             self.unload(now, adapter)
         };
-        if outcome != Ordered::Conflict {
+        if outcome != OrderOutcome::Conflict {
             self.orders += 1;
         }
         outcome
     }
 
-    fn load(&mut self, now: Instant, adapter: &Arc<str>, version: u64) -> Ordered {
+    fn load(&mut self, now: Instant, adapter: &Arc<str>, version: u64) -> OrderOutcome {
         let busy = self.slots.get(adapter).map_or(now, |slot| slot.busy);
         if !self.slots.contains_key(adapter) && self.slots.len() >= self.places {
             self.crash = Some(format!("{} loaded over {} places", adapter, self.places));
             self.up = false;
-            return Ordered::Unknown;
+            return OrderOutcome::Unknown;
         }
         self.loads += 1;
         let near = self.beside.contains(adapter);
@@ -168,22 +168,22 @@
                 busy,
             },
         );
-        Ordered::Accepted
+        OrderOutcome::Accepted
     }
 
     fn keep_beside(&mut self, adapter: &Arc<str>) {
         self.beside.retain(|other| other != adapter);
         self.beside.push(adapter.clone());
-        let over = self.beside.len().saturating_sub(self.room_beside);
+        let over = self.beside.len().saturating_sub(self.local_copy_capacity);
         self.beside.drain(..over);
     }
 
-    fn unload(&mut self, now: Instant, adapter: &Arc<str>) -> Ordered {
+    fn unload(&mut self, now: Instant, adapter: &Arc<str>) -> OrderOutcome {
         match self.slots.get(adapter) {
-            Some(slot) if slot.busy > now => Ordered::Accepted,
+            Some(slot) if slot.busy > now => OrderOutcome::Accepted,
             _ => {
                 self.slots.remove(adapter);
-                Ordered::Holds
+                OrderOutcome::Holds
             }
         }
     }
@@ -205,12 +205,12 @@
             return None;
         }
         if now > self.free {
-            self.reading.0 = now;
+            self.prefill_busy.0 = now;
         }
         let begun = self.free.max(now) + Span::from_millis(u64::from(prompt) / RATE);
         let end = begun + STEP.times(u64::from(output));
         self.free = begun;
-        self.reading.1 = self.reading.1.max(begun.since(self.reading.0));
+        self.prefill_busy.1 = self.prefill_busy.1.max(begun.since(self.prefill_busy.0));
         slot.busy = slot.busy.max(end);
         Some((begun, end))
     }
@@ -223,22 +223,22 @@
         };
         let (there, coming): (Vec<_>, Vec<_>) =
             self.slots.iter().partition(|(_, slot)| slot.ready <= now);
-        let base = Base {
+        let base = ResidentModel {
             model: MODEL.into(),
             version: 1,
             adapters: there.into_iter().map(resident).collect(),
         };
         Report {
-            models: if self.base.is_some_and(|at| at <= now) {
+            models: if self.base_ready_at.is_some_and(|at| at <= now) {
                 vec![base]
             } else {
                 Vec::new()
             },
-            coming: coming
+            loading: coming
                 .into_iter()
                 .map(|(name, slot)| (MODEL.into(), name.clone(), slot.version))
                 .collect(),
-            busy: self.base.is_some_and(|at| at > now),
+            busy: self.base_ready_at.is_some_and(|at| at > now),
             orders: self.orders,
             start: Some(self.start),
         }
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -6,12 +6,12 @@
 use dahliastile_core::id::{Incarnation, Server, Service, Vm, Zone};
 use dahliastile_core::time::Span;
 use dahliastile_gateway::account::Tokens;
-use dahliastile_gateway::cluster::fact::{Backend, Base, Resident};
+use dahliastile_gateway::cluster::snapshot::{Backend, Resident, ResidentModel};
 use dahliastile_gateway::config::{
-    Application, Config, Engine, Kind, Limits, Model, Route, Target,
+    Config, EngineSpec, HttpLimits, Model, Route, RouteKind, ServiceConfig, Target,
 };
-use dahliastile_gateway::event::{Call, Report, Work};
-use dahliastile_gateway::feature::Without;
+use dahliastile_gateway::event::{CallerRequest, InferenceSpec, Report};
+use dahliastile_gateway::feature::DisabledFeatures;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use dahliastile_gateway::settings::{Settings, Tuning};
 
@@ -52,13 +52,13 @@
         seed: 7 + number as u64,
         seeds: Vec::new(),
         tuning: tuning.clone(),
-        without: Without::default(),
+        without: DisabledFeatures::default(),
     }
 }
 
 /// The shape of the engines: the first deployment's places, with a small model.
-pub fn engine_config() -> Engine {
-    Engine {
+pub fn engine_config() -> EngineSpec {
+    EngineSpec {
         batch: 64,
         tokens: 120_000,
         memory_mb: 66_500.0,
@@ -76,7 +76,7 @@
 /// A route.
 pub fn route(
     prefix: &str,
-    kind: Kind,
+    kind: RouteKind,
     service: &str,
     timeout: u64,
     attempts: u32,
@@ -90,7 +90,7 @@
         timeout: Span::from_millis(timeout),
         objective: Span::from_millis(1_000),
         pause: Span::from_millis(400),
-        patience: Span::from_millis(if kind.stream() { 4_000 } else { timeout }),
+        caller_timeout: Span::from_millis(if kind.stream() { 4_000 } else { timeout }),
         priority,
         public: false,
         attempts,
@@ -106,62 +106,62 @@
     Config {
         version,
         routes: vec![
-            route("/plan/", Kind::Stream, ENGINES, 5_000, 1, 1),
-            route("/brief/", Kind::Stream, ENGINES, 15_000, 1, 0),
-            route("/berth/", Kind::Resumable, ENGINES, 8_000, 2, 1),
-            route("/post/", Kind::Unsafe, PLAIN, 2_000, 1, 2),
-            route("/query/", Kind::Safe, PLAIN, 2_000, 2, 2),
+            route("/plan/", RouteKind::Stream, ENGINES, 5_000, 1, 1),
+            route("/brief/", RouteKind::Stream, ENGINES, 15_000, 1, 0),
+            route("/berth/", RouteKind::Resumable, ENGINES, 8_000, 2, 1),
+            route("/post/", RouteKind::Unsafe, PLAIN, 2_000, 1, 2),
+            route("/query/", RouteKind::Safe, PLAIN, 2_000, 2, 2),
         ],
         services: vec![
-            Arc::new(Application {
+            Arc::new(ServiceConfig {
                 name: name(ENGINES),
                 engine: Some(engine_config()),
             }),
-            Arc::new(Application {
+            Arc::new(ServiceConfig {
                 name: name(PLAIN),
                 engine: None,
             }),
         ],
-        limits: Limits::default(),
+        limits: HttpLimits::default(),
         accounts: None,
     }
 }
 
 /// What a draft asks of an engine.
-pub fn work(adapter: &str, prompt: u32, output: u32) -> Work {
-    Work {
+pub fn work(adapter: &str, prompt_tokens: u32, max_output_tokens: u32) -> InferenceSpec {
+    InferenceSpec {
         model: MODEL.into(),
         adapter: Some(adapter.into()),
-        prompt,
-        output,
-        parts: Arc::default(),
+        prompt_tokens,
+        max_output_tokens,
+        prompt_parts: Arc::default(),
     }
 }
 
 /// A short draft by an adapter, as most tests ask for.
-pub fn draft(id: &str, adapter: &str) -> Call {
-    call(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
+pub fn adapter_request(id: &str, adapter: &str) -> CallerRequest {
+    request(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
 }
 
 /// One of many requests: three in four are drafts by sixty adapters in turn, the others for the plain service.
-pub fn mixed(at: usize) -> Call {
+pub fn mixed_request(at: usize) -> CallerRequest {
     match at % 4 {
-        0 => call(&format!("q{at}"), "/query/x", 2_000, None),
-        _ => draft(&format!("r{at}"), &format!("a{}", at * 7 % 60)),
+        0 => request(&format!("q{at}"), "/query/x", 2_000, None),
+        _ => adapter_request(&format!("r{at}"), &format!("a{}", at * 7 % 60)),
     }
 }
 
 /// A request.
-pub fn call(id: &str, path: &str, patience: u64, work: Option<Work>) -> Call {
-    Call {
+pub fn request(id: &str, path: &str, patience: u64, work: Option<InferenceSpec>) -> CallerRequest {
+    CallerRequest {
         id: id.into(),
         host: "host.example".to_owned(),
         path: path.to_owned(),
-        patience: Some(Span::from_millis(patience)),
+        caller_timeout: Some(Span::from_millis(patience)),
         key: None,
         tokens: work
             .as_ref()
-            .map(|w| Tokens(u64::from(w.prompt + w.output))),
+            .map(|w| Tokens(u64::from(w.prompt_tokens + w.max_output_tokens))),
         work,
         fingerprint: Fingerprint::of([path.as_bytes(), id.as_bytes()]),
     }
@@ -183,12 +183,12 @@
 /// The report of an engine that holds its base model and some adapters of it.
 pub fn report(adapters: Vec<Resident>) -> Report {
     Report {
-        models: vec![Base {
+        models: vec![ResidentModel {
             model: MODEL.into(),
             version: 1,
             adapters,
         }],
-        coming: Vec::new(),
+        loading: Vec::new(),
         busy: false,
         orders: 0,
         start: Some(Incarnation(1)),
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Change, Fact, Revision, Subject};
-use dahliastile_gateway::effect::Op;
-use dahliastile_gateway::event::{Lease, Outcome};
+use dahliastile_gateway::cluster::snapshot::{Change, EntryKey, EntryValue, Revision};
+use dahliastile_gateway::effect::KvOperation;
+use dahliastile_gateway::event::{KvOutcome, Lease};
 
 /// One call that waits for changes.
 pub struct Waiter {
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct Store {
     /// The items, with their leases.
-    items: BTreeMap<Subject, (Change, Lease)>,
+    items: BTreeMap<EntryKey, (Change, Lease)>,
     /// All changes.
     pub history: Vec<Change>,
     /// The leases, each with its length and its end.
@@ -42,17 +42,17 @@
 
 impl Store {
     /// Writes an item, as the operator or a server does.
-    pub fn put(&mut self, subject: Subject, fact: Fact, lease: Lease) -> Revision {
+    pub fn put(&mut self, subject: EntryKey, fact: EntryValue, lease: Lease) -> Revision {
         self.revision += 1;
         let created = self
             .items
             .get(&subject)
             .map_or(self.revision, |(change, _)| change.created);
         let change = Change {
-            subject: subject.clone(),
+            key: subject.clone(),
             revision: self.revision,
             created,
-            fact: Some(fact),
+            value: Some(fact),
         };
         self.items.insert(subject, (change.clone(), lease));
         self.history.push(change);
@@ -60,21 +60,21 @@
     }
 
     /// Removes an item.
-    pub fn remove(&mut self, subject: &Subject) {
+    pub fn remove(&mut self, subject: &EntryKey) {
         if self.items.remove(subject).is_none() {
             return;
         }
         self.revision += 1;
         self.history.push(Change {
-            subject: subject.clone(),
+            key: subject.clone(),
             revision: self.revision,
             created: 0,
-            fact: None,
+            value: None,
         });
     }
 
     /// The item of a subject.
-    pub fn get(&self, subject: &Subject) -> Option<&Change> {
+    pub fn get(&self, subject: &EntryKey) -> Option<&Change> {
         self.items.get(subject).map(|(change, _)| change)
     }
 
@@ -94,7 +94,7 @@
     /// Ends a lease.
     pub fn end(&mut self, lease: Lease) {
         self.leases.remove(&lease);
-        let gone: Vec<Subject> = self
+        let gone: Vec<EntryKey> = self
             .items
             .iter()
             .filter(|(_, (_, l))| *l == lease)
@@ -113,19 +113,25 @@
     }
 
     /// Carries a call out; none where it waits.
-    pub fn call(&mut self, now: Instant, vm: usize, op: u64, call: Op) -> Option<Outcome> {
+    pub fn call(
+        &mut self,
+        now: Instant,
+        vm: usize,
+        op: u64,
+        call: KvOperation,
+    ) -> Option<KvOutcome> {
         self.calls += 1;
         match call {
-            Op::List => {
+            KvOperation::List => {
                 let items = self
                     .items
                     .values()
                     .map(|(change, _)| change.clone())
                     .collect();
-                Some(Outcome::Listed(items, self.revision))
+                Some(KvOutcome::Listed(items, self.revision))
             }
-            Op::Watch(after, _) if after < self.compacted => Some(Outcome::Compacted),
-            Op::Watch(after, wait) => {
+            KvOperation::Watch(after, _) if after < self.compacted => Some(KvOutcome::Compacted),
+            KvOperation::Watch(after, wait) => {
                 self.watched_by.insert(vm);
                 self.waiters.push(Waiter {
                     vm,
@@ -135,36 +141,38 @@
                 });
                 None
             }
-            Op::Grant(ttl) => {
+            KvOperation::GrantLease(ttl) => {
                 self.revision += 1;
                 self.leases.insert(self.revision, (ttl, now + ttl));
-                Some(Outcome::Granted(self.revision, ttl))
+                Some(KvOutcome::Granted(self.revision, ttl))
             }
-            Op::Renew(lease) => Some(match self.leases.get_mut(&lease) {
+            KvOperation::RenewLease(lease) => Some(match self.leases.get_mut(&lease) {
                 Some((ttl, end)) => {
                     *end = now + *ttl;
-                    Outcome::Renewed(*ttl)
+                    KvOutcome::Renewed(*ttl)
                 }
-                None => Outcome::NoLease,
+                None => KvOutcome::NoLease,
             }),
-            Op::End(lease) => {
+            KvOperation::RevokeLease(lease) => {
                 self.end(lease);
-                Some(Outcome::NoLease)
+                Some(KvOutcome::NoLease)
+            }
+            KvOperation::Put(change, lease, conditions) => {
+                Some(self.write(change, lease, &conditions))
             }
-            Op::Put(change, lease, conditions) => Some(self.write(change, lease, &conditions)),
-            Op::Remove(subject, revision) => {
+            KvOperation::Remove(subject, revision) => {
                 let fits = self.get(&subject).is_some_and(|c| c.revision == revision);
                 if !fits {
                     return Some(self.conflict(&subject));
                 }
                 self.remove(&subject);
-                Some(Outcome::Written(self.revision))
+                Some(KvOutcome::Written(self.revision))
             }
         }
     }
 
     /// What waiting calls get now.
-    pub fn wake(&mut self, now: Instant) -> Vec<(usize, u64, Outcome)> {
+    pub fn wake(&mut self, now: Instant) -> Vec<(usize, u64, KvOutcome)> {
         let mut woken = Vec::new();
         let history = &self.history;
         let revision = self.revision;
@@ -177,7 +185,7 @@
             if changes.is_empty() && waiter.until > now {
                 return true;
             }
-            woken.push((waiter.vm, waiter.op, Outcome::Watched(changes, revision)));
+            woken.push((waiter.vm, waiter.op, KvOutcome::Watched(changes, revision)));
             false
         });
         woken
@@ -187,21 +195,21 @@
         &mut self,
         change: Change,
         lease: Lease,
-        conditions: &[(Subject, Revision)],
-    ) -> Outcome {
-        let known = |subject: &Subject| self.get(subject).map_or(0, |c| c.revision);
+        conditions: &[(EntryKey, Revision)],
+    ) -> KvOutcome {
+        let known = |subject: &EntryKey| self.get(subject).map_or(0, |c| c.revision);
         let mut failed = conditions
             .iter()
             .filter(|(s, revision)| known(s) != *revision);
-        match (failed.next(), change.fact) {
+        match (failed.next(), change.value) {
             (Some((subject, _)), _) => self.conflict(subject),
-            _ if !self.leases.contains_key(&lease) => Outcome::NoLease,
-            (_, Some(fact)) => Outcome::Written(self.put(change.subject, fact, lease)),
-            (_, None) => Outcome::Refused,
+            _ if !self.leases.contains_key(&lease) => KvOutcome::NoLease,
+            (_, Some(fact)) => KvOutcome::Written(self.put(change.key, fact, lease)),
+            (_, None) => KvOutcome::Refused,
         }
     }
 
-    fn conflict(&self, subject: &Subject) -> Outcome {
-        Outcome::Conflict(self.get(subject).cloned().into_iter().collect())
+    fn conflict(&self, subject: &EntryKey) -> KvOutcome {
+        KvOutcome::Conflict(self.get(subject).cloned().into_iter().collect())
     }
 }
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -11,11 +11,11 @@
 use dahliastile_core::id::{Incarnation, Server, Tenant};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::cluster::fact::{Backend, Fact, Subject};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey, EntryValue};
 use dahliastile_gateway::config::Config;
-use dahliastile_gateway::effect::{Op, Order, Reason, Send};
-use dahliastile_gateway::event::{Call, Event};
-use dahliastile_gateway::feature::Without;
+use dahliastile_gateway::effect::{Attempt, KvOperation, Order, RefusalReason};
+use dahliastile_gateway::event::{CallerRequest, Event};
+use dahliastile_gateway::feature::DisabledFeatures;
 use dahliastile_gateway::message::Message;
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use dahliastile_gateway::settings::Tuning;
@@ -54,7 +54,7 @@
     /// A server's own failure.
     Failure,
     /// A refusal, and when to come back.
-    Refused(Reason, Option<Span>),
+    Refused(RefusalReason, Option<Span>),
     /// Broken off.
     Cut,
     /// The VM died.
@@ -63,9 +63,9 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// What it asked.
-    pub call: Call,
+    pub request: CallerRequest,
     /// The VM.
     pub vm: usize,
     /// When.
@@ -87,7 +87,7 @@
 /// A VM.
 // Its faults are set one by one.
 #[allow(clippy::struct_excessive_bools)]
-pub struct Host {
+pub struct SimulatedVm {
     /// Its gateway, while it runs.
     pub gateway: Option<Gateway>,
     /// The number of its start.
@@ -97,23 +97,23 @@
     /// What came while it stood still.
     backlog: Vec<Event>,
     /// Whether it reaches the key-value service.
-    pub store: bool,
+    pub store_reachable: bool,
     /// How much it can do for others.
     pub strength: u32,
     /// Whether the key-value service leaves its calls without an answer.
-    pub silent: bool,
+    pub store_silent: bool,
     /// How much longer the key-value service's answers take to it that say that it holds the leadership.
-    pub store_lag: Span,
+    pub store_delay: Span,
     /// Whether it reaches other VMs.
-    pub peers: bool,
+    pub peers_reachable: bool,
     /// VMs of different sides don't reach each other.
-    pub side: u8,
+    pub partition: u8,
     /// Whether it reaches other VMs and servers.
-    pub net: bool,
+    pub network_up: bool,
     /// The wake-up that is set.
     wake: Instant,
     /// What its processor takes for an event and for a run of a scheduler.
-    pub work: (Span, Span),
+    pub cpu_cost: (Span, Span),
     /// Until when its processor is taken, and the events that wait for it.
     taken: Instant,
     queue: std::collections::VecDeque<Event>,
@@ -122,11 +122,11 @@
 enum Act {
     Event(usize, u64, Event),
     Wake(usize, u64),
-    Store(usize, u64, u64, Op),
+    Store(usize, u64, u64, KvOperation),
     Order(usize, u64, u64, Server, Order, bool),
     Report(usize, u64, Server),
     Peer(usize, usize, Message),
-    Arrive(usize, u64, u64, Send),
+    Arrive(usize, u64, u64, Attempt),
     Head(notice::Head),
     Restart(usize),
     Expire,
@@ -146,7 +146,7 @@
     /// The time.
     pub now: Instant,
     /// The VMs.
-    pub hosts: Vec<Host>,
+    pub vms: Vec<SimulatedVm>,
     /// The servers.
     pub servers: BTreeMap<Server, (Engine, Arc<Backend>)>,
     /// The key-value service.
@@ -154,7 +154,7 @@
     /// Whether it answers.
     pub store_up: bool,
     /// The share of orders that get no answer and are carried out seconds later.
-    pub late_orders: f64,
+    pub delayed_order_share: f64,
     /// The newest versions named.
     pub versions: BTreeMap<Arc<str>, u64>,
     /// All versions named, with the time of each.
@@ -170,17 +170,17 @@
     /// Connections that VMs made to see whether a server takes any.
     pub probes: u64,
     /// The requests, by number.
-    pub asked: BTreeMap<u64, Asked>,
+    pub requests: BTreeMap<u64, RequestRecord>,
     /// The log lines.
-    pub lines: Vec<String>,
+    pub log_lines: Vec<String>,
     /// Messages that VMs sent to each other.
     pub messages: u64,
     /// The same by kind.
-    pub sent: BTreeMap<&'static str, u64>,
+    pub messages_by_kind: BTreeMap<&'static str, u64>,
     /// Calls of the key-value service that VMs made, whether or not it answers.
     pub tried: u64,
     tuning: Tuning,
-    without: Without,
+    without: DisabledFeatures,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     acts: BTreeMap<u64, Act>,
     seq: u64,
@@ -191,33 +191,46 @@
 impl World {
     /// A fleet of VMs, engines and plain servers that has just started.
     pub fn new(vms: usize, engines: usize, plain: usize) -> Self {
-        Self::tuned(vms, engines, plain, Tuning::default())
+        Self::with_tuning(vms, engines, plain, Tuning::default())
     }
 
     /// The same with other figures.
-    pub fn tuned(vms: usize, engines: usize, plain: usize, tuning: Tuning) -> Self {
-        Self::uneven(&vec![USUAL; vms], engines, plain, tuning)
+    pub fn with_tuning(vms: usize, engines: usize, plain: usize, tuning: Tuning) -> Self {
+        Self::with_strengths(&vec![USUAL; vms], engines, plain, tuning)
     }
 
     /// The same without some features.
-    pub fn without(
+    pub fn without_features(
         vms: usize,
         engines: usize,
         plain: usize,
         tuning: Tuning,
-        without: Without,
+        without: DisabledFeatures,
     ) -> Self {
         Self::build(&vec![USUAL; vms], engines, plain, tuning, without)
     }
 
     /// The same with VMs of different strength.
-    pub fn uneven(strengths: &[u32], engines: usize, plain: usize, tuning: Tuning) -> Self {
-        Self::build(strengths, engines, plain, tuning, Without::default())
+    pub fn with_strengths(strengths: &[u32], engines: usize, plain: usize, tuning: Tuning) -> Self {
+        Self::build(
+            strengths,
+            engines,
+            plain,
+            tuning,
+            DisabledFeatures::default(),
+        )
     }
 
     /// The same before the operator wrote a configuration.
     pub fn unconfigured(strengths: &[u32], engines: usize, plain: usize, tuning: Tuning) -> Self {
-        Self::started(strengths, engines, plain, tuning, Without::default(), None)
+        Self::started(
+            strengths,
+            engines,
+            plain,
+            tuning,
+            DisabledFeatures::default(),
+            None,
+        )
     }
 
     fn build(
@@ -225,7 +238,7 @@
         engines: usize,
         plain: usize,
         tuning: Tuning,
-        without: Without,
+        without: DisabledFeatures,
     ) -> Self {
         let config = Some(setup::config(1));
         Self::started(strengths, engines, plain, tuning, without, config)
@@ -236,16 +249,16 @@
         engines: usize,
         plain: usize,
         tuning: Tuning,
-        without: Without,
+        without: DisabledFeatures,
         config: Option<Config>,
     ) -> Self {
         let mut world = Self {
             now: Instant(1_000_000),
-            hosts: Vec::new(),
+            vms: Vec::new(),
             servers: BTreeMap::new(),
             store: Store::default(),
             store_up: true,
-            late_orders: 0.0,
+            delayed_order_share: 0.0,
             versions: BTreeMap::new(),
             names: Vec::new(),
             crashing: Crashing::default(),
@@ -253,10 +266,10 @@
             running: BTreeMap::new(),
             fallen: 0,
             probes: 0,
-            asked: BTreeMap::new(),
-            lines: Vec::new(),
+            requests: BTreeMap::new(),
+            log_lines: Vec::new(),
             messages: 0,
-            sent: BTreeMap::new(),
+            messages_by_kind: BTreeMap::new(),
             tried: 0,
             tuning,
             without,
@@ -275,20 +288,20 @@
             world.add_server(&format!("p{number}"), number, false);
         }
         for (number, strength) in strengths.iter().enumerate() {
-            world.hosts.push(Host {
+            world.vms.push(SimulatedVm {
                 strength: *strength,
                 gateway: None,
                 start: 0,
                 frozen: None,
                 backlog: Vec::new(),
-                store: true,
-                silent: false,
-                peers: true,
-                side: 0,
-                store_lag: Span::ZERO,
-                net: true,
+                store_reachable: true,
+                store_silent: false,
+                peers_reachable: true,
+                partition: 0,
+                store_delay: Span::ZERO,
+                network_up: true,
                 wake: Instant::NEVER,
-                work: (Span::ZERO, Span::ZERO),
+                cpu_cost: (Span::ZERO, Span::ZERO),
                 taken: Instant::default(),
                 queue: std::collections::VecDeque::new(),
             });
@@ -301,17 +314,17 @@
     /// The operator writes a configuration.
     pub fn configure(&mut self, config: Config) {
         self.store
-            .put(Subject::Config, Fact::Config(Arc::new(config)), 0);
+            .put(EntryKey::Config, EntryValue::Config(Arc::new(config)), 0);
         self.wake_watchers();
     }
 
     /// The operator names a version of an adapter.
-    pub fn name_version(&mut self, adapter: &str, version: u64) {
+    pub fn publish_version(&mut self, adapter: &str, version: u64) {
         let adapter: Arc<str> = adapter.into();
         self.versions.insert(adapter.clone(), version);
         self.names.push((self.now, adapter.clone(), version));
-        let subject = Subject::Version(MODEL.into(), adapter);
-        self.store.put(subject, Fact::Version(version), 0);
+        let subject = EntryKey::Version(MODEL.into(), adapter);
+        self.store.put(subject, EntryValue::Version(version), 0);
         self.wake_watchers();
     }
 
@@ -345,7 +358,7 @@
     fn register(&mut self, made: Engine, backend: Backend) {
         let (id, backend) = (made.id.clone(), Arc::new(backend));
         self.servers.insert(id.clone(), (made, backend.clone()));
-        self.write(Subject::Server(id), Fact::Server(backend));
+        self.write_entry(EntryKey::Server(id), EntryValue::Server(backend));
     }
 
     /// A server says that it is leaving.
@@ -355,13 +368,13 @@
         let mut leaving = (**backend).clone();
         leaving.ready = false;
         *backend = Arc::new(leaving);
-        let fact = Fact::Server(backend.clone());
-        self.store.put(Subject::Server(id), fact, 0);
+        let fact = EntryValue::Server(backend.clone());
+        self.store.put(EntryKey::Server(id), fact, 0);
         self.wake_watchers();
     }
 
     /// A server ends without a word; its entry goes after a while.
-    pub fn crash(&mut self, id: &str) {
+    pub fn crash_server(&mut self, id: &str) {
         let id: Server = name(id);
         self.servers.get_mut(&id).expect("a server").0.up = false;
     }
@@ -374,44 +387,44 @@
         let mut anew = (**backend).clone();
         anew.start = Some(Incarnation(start));
         *backend = Arc::new(anew);
-        let fact = Fact::Server(backend.clone());
-        self.store.put(Subject::Server(id), fact, 0);
+        let fact = EntryValue::Server(backend.clone());
+        self.store.put(EntryKey::Server(id), fact, 0);
         self.wake_watchers();
     }
 
     /// Another program writes an entry, or a late write is carried out.
-    pub fn write(&mut self, subject: Subject, fact: Fact) {
+    pub fn write_entry(&mut self, subject: EntryKey, fact: EntryValue) {
         self.store.put(subject, fact, 0);
         self.wake_watchers();
     }
 
     /// A server rewrites its entry as it is.
-    pub fn rewrite(&mut self, id: &str) {
+    pub fn rewrite_server_entry(&mut self, id: &str) {
         let id: Server = name(id);
-        let fact = Fact::Server(self.servers[&id].1.clone());
-        self.write(Subject::Server(id), fact);
+        let fact = EntryValue::Server(self.servers[&id].1.clone());
+        self.write_entry(EntryKey::Server(id), fact);
     }
 
     /// A server's entry goes.
-    pub fn unlist(&mut self, id: &str) {
-        self.store.remove(&Subject::Server(name(id)));
+    pub fn remove_server_entry(&mut self, id: &str) {
+        self.store.remove(&EntryKey::Server(name(id)));
         self.wake_watchers();
     }
 
     /// The VM that holds the leadership of the engines, by the key-value service.
     pub fn holder(&self) -> Option<usize> {
-        let change = self.store.get(&Subject::Holder(name(ENGINES)))?;
-        match change.fact.as_ref()? {
-            Fact::Holder(holder) => holder.vm.as_str().strip_prefix("vm")?.parse().ok(),
+        let change = self.store.get(&EntryKey::Holder(name(ENGINES)))?;
+        match change.value.as_ref()? {
+            EntryValue::Holder(holder) => holder.vm.as_str().strip_prefix("vm")?.parse().ok(),
             _ => None,
         }
     }
 
     /// Kills a VM's process; it starts again after a while, unless it is gone for good.
     pub fn kill(&mut self, vm: usize, for_good: bool) {
-        self.hosts[vm].gateway = None;
+        self.vms[vm].gateway = None;
         for asked in self
-            .asked
+            .requests
             .values_mut()
             .filter(|a| a.vm == vm && a.ended.is_none())
         {
@@ -429,11 +442,11 @@
 
     /// The key-value service turns a VM away and takes away what it wrote.
     pub fn revoke(&mut self, vm: usize) {
-        self.hosts[vm].store = false;
+        self.vms[vm].store_reachable = false;
         self.store
-            .remove(&Subject::Member(name(&format!("vm{vm}"))));
+            .remove(&EntryKey::Member(name(&format!("vm{vm}"))));
         if self.holder() == Some(vm) {
-            self.store.remove(&Subject::Holder(name(ENGINES)));
+            self.store.remove(&EntryKey::Holder(name(ENGINES)));
         }
         self.wake_watchers();
     }
@@ -441,18 +454,18 @@
     /// Has a VM stand still for a while.
     pub fn freeze(&mut self, vm: usize, span: Span) {
         let until = self.now + span;
-        self.hosts[vm].frozen = Some(until);
+        self.vms[vm].frozen = Some(until);
         self.at(until, Act::Thaw(vm));
     }
 
     /// Sends a request to a VM and gives its number.
-    pub fn ask(&mut self, vm: usize, call: Call) -> u64 {
+    pub fn send_request(&mut self, vm: usize, call: CallerRequest) -> u64 {
         self.seq += 1;
         let number = self.seq;
-        self.asked.insert(
+        self.requests.insert(
             number,
-            Asked {
-                call: call.clone(),
+            RequestRecord {
+                request: call.clone(),
                 vm,
                 at: self.now,
                 ended: None,
@@ -463,20 +476,26 @@
                 versions: Vec::new(),
             },
         );
-        if self.hosts[vm].gateway.is_none() {
-            self.asked.get_mut(&number).expect("just put").ended = Some((self.now, Answer::Lost));
+        if self.vms[vm].gateway.is_none() {
+            self.requests.get_mut(&number).expect("just put").ended =
+                Some((self.now, Answer::Lost));
         }
-        self.deliver(vm, Event::Arrived(number, Box::new(call)));
+        self.deliver(vm, Event::RequestArrived(number, Box::new(call)));
         number
     }
 
     /// Sends requests at a steady pace, each to the next VM in turn where that one runs, and gives their numbers.
-    pub fn ask_all(&mut self, count: usize, pause: Span, call: impl Fn(usize) -> Call) -> Vec<u64> {
+    pub fn send_requests(
+        &mut self,
+        count: usize,
+        pause: Span,
+        call: impl Fn(usize) -> CallerRequest,
+    ) -> Vec<u64> {
         let mut numbers = Vec::new();
         for at in 0..count {
-            let vm = at % self.hosts.len();
-            if self.hosts[vm].gateway.is_some() {
-                numbers.push(self.ask(vm, call(at)));
+            let vm = at % self.vms.len();
+            if self.vms[vm].gateway.is_some() {
+                numbers.push(self.send_request(vm, call(at)));
             }
             self.run(pause);
         }
@@ -485,31 +504,31 @@
 
     /// The load of a quiet night for the span: a request every 40 ms for one of twelve adapters in turn, at the VMs that run;
     /// their numbers.
-    pub fn quiet_night(&mut self, span: Span) -> Vec<u64> {
+    pub fn send_light_load(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / QUIET_PAUSE.0).expect("small");
-        let call = |at| setup::draft(&format!("r{at}"), &format!("a{}", at * 5 % 12));
-        self.ask_all(count, QUIET_PAUSE, call)
+        let call = |at| setup::adapter_request(&format!("r{at}"), &format!("a{}", at * 5 % 12));
+        self.send_requests(count, QUIET_PAUSE, call)
     }
 
     /// A fleet of 12 engines and 4 plain servers after some seconds of a busy night.
-    pub fn warm(vms: usize) -> Self {
+    pub fn under_load(vms: usize) -> Self {
         let mut world = Self::new(vms, 12, 4);
         world.run(Span::from_secs(2));
-        world.busy_night(Span::from_secs(2));
+        world.send_heavy_load(Span::from_secs(2));
         world
     }
 
     /// The load of a busy night for the span: each 20 ms a request for one of sixty adapters in turn, and each fourth time one to a
     /// plain service; their numbers.
-    pub fn busy_night(&mut self, span: Span) -> Vec<u64> {
+    pub fn send_heavy_load(&mut self, span: Span) -> Vec<u64> {
         let count = usize::try_from(span.0 / BUSY_PAUSE.0).expect("small");
-        self.ask_all(count, BUSY_PAUSE, setup::mixed)
+        self.send_requests(count, BUSY_PAUSE, setup::mixed_request)
     }
 
     /// How long each of these requests was held that was refused.
-    pub fn refused_of(&self, numbers: &[u64]) -> Vec<Span> {
+    pub fn refusal_delays(&self, numbers: &[u64]) -> Vec<Span> {
         let held = |number: &u64| {
-            let asked = &self.asked[number];
+            let asked = &self.requests[number];
             match &asked.ended {
                 Some((at, Answer::Refused(..))) => Some(at.since(asked.at)),
                 _ => None,
@@ -519,15 +538,15 @@
     }
 
     /// The longest time that one of these requests was held that was refused.
-    pub fn longest_refused(&self, numbers: &[u64]) -> Span {
-        let held = self.refused_of(numbers);
+    pub fn longest_refusal_delay(&self, numbers: &[u64]) -> Span {
+        let held = self.refusal_delays(numbers);
         held.into_iter().max().unwrap_or_default()
     }
 
     /// The caller of a request leaves.
-    pub fn leave(&mut self, number: u64) {
-        let vm = self.asked[&number].vm;
-        self.deliver(vm, Event::Gone(number));
+    pub fn disconnect_caller(&mut self, number: u64) {
+        let vm = self.requests[&number].vm;
+        self.deliver(vm, Event::CallerLeft(number));
     }
 
     /// Lets time pass.
@@ -548,32 +567,35 @@
 
     /// The answer to a request, if it is final.
     pub fn answer(&self, number: u64) -> Option<&Answer> {
-        self.asked[&number].ended.as_ref().map(|(_, answer)| answer)
+        self.requests[&number]
+            .ended
+            .as_ref()
+            .map(|(_, answer)| answer)
     }
 
     /// How many requests were served.
-    pub fn served(&self) -> usize {
-        self.asked
+    pub fn total_served(&self) -> usize {
+        self.requests
             .values()
             .filter(|a| matches!(a.ended, Some((_, Answer::Served(_)))))
             .count()
     }
 
     /// How many of these requests were served.
-    pub fn served_of(&self, numbers: &[u64]) -> usize {
+    pub fn count_served(&self, numbers: &[u64]) -> usize {
         let served = |n: &&u64| matches!(self.answer(**n), Some(Answer::Served(_)));
         numbers.iter().filter(served).count()
     }
 
     /// That so many in a hundred of these requests were served.
     pub fn check_served(&self, numbers: &[u64], percent: usize) {
-        let (good, all) = (self.served_of(numbers), numbers.len());
+        let (good, all) = (self.count_served(numbers), numbers.len());
         assert!(good * 100 >= all * percent, "{good} of {all}");
     }
 
     /// The time to the first piece of a request, where it was served.
-    pub fn first_piece(&self, number: u64) -> Option<Span> {
-        let asked = &self.asked[&number];
+    pub fn time_to_first_chunk(&self, number: u64) -> Option<Span> {
+        let asked = &self.requests[&number];
         match &asked.ended {
             Some((_, Answer::Served(begun))) => Some(begun.since(asked.at)),
             _ => None,
@@ -581,10 +603,10 @@
     }
 
     /// All that must always hold, over what the fakes recorded.
-    pub fn check(&self) {
-        for (number, asked) in &self.asked {
-            let idempotent =
-                asked.call.path.starts_with("/query/") || asked.call.path.starts_with("/berth/");
+    pub fn check_invariants(&self) {
+        for (number, asked) in &self.requests {
+            let idempotent = asked.request.path.starts_with("/query/")
+                || asked.request.path.starts_with("/berth/");
             assert!(
                 idempotent || asked.runs.len() <= 1,
                 "request {number} ran {} times",
@@ -592,7 +614,7 @@
             );
             let ended = asked.ended.as_ref().map(|(_, answer)| answer);
             if let Some(Answer::Refused(reason, _)) = ended
-                && !matches!(reason, Reason::Failed | Reason::TimedOut)
+                && !matches!(reason, RefusalReason::Failed | RefusalReason::TimedOut)
             {
                 assert!(
                     asked.runs.is_empty(),
@@ -608,10 +630,10 @@
         }
         for (engine, _) in self.servers.values() {
             assert_eq!(engine.crash, None, "{} crashed", engine.id);
-            let falls = engine.fences.windows(2).any(|w| w[1].1 < w[0].1);
+            let falls = engine.accepted_fences.windows(2).any(|w| w[1].1 < w[0].1);
             assert!(!falls, "{} took orders under a lower number", engine.id);
         }
-        for host in &self.hosts {
+        for host in &self.vms {
             if let Some(gateway) = &host.gateway {
                 assert_eq!(gateway.verify(), Vec::<String>::new());
             }
--- a/crates/gateway/tests/support/world/act.rs
+++ b/crates/gateway/tests/support/world/act.rs
@@ -5,9 +5,11 @@
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::Gateway;
-use dahliastile_gateway::cluster::fact::{Change, Fact};
-use dahliastile_gateway::effect::{Effect, Op, Order, Send, Verdict};
-use dahliastile_gateway::event::{Cause, Event, Fault, Ordered, Outcome, Ran};
+use dahliastile_gateway::cluster::snapshot::{Change, EntryValue};
+use dahliastile_gateway::effect::{Attempt, Effect, KvOperation, NextStep, Order};
+use dahliastile_gateway::event::{
+    Event, Execution, FailureCause, KvOutcome, LinkFault, OrderOutcome,
+};
 use rand::Rng;
 
 use super::fall::{Arrival, CRASHES_AFTER, Run};
@@ -16,7 +18,7 @@
 
 impl World {
     pub(super) fn start(&mut self, vm: usize) {
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         host.start += 1;
         host.frozen = None;
         host.wake = Instant::NEVER;
@@ -38,13 +40,13 @@
     pub(super) fn act(&mut self, act: Act) {
         match act {
             Act::Event(vm, start, event) => {
-                if self.hosts[vm].start == start {
+                if self.vms[vm].start == start {
                     self.deliver(vm, event);
                 }
             }
             Act::Wake(vm, start) => {
-                if self.hosts[vm].start == start {
-                    self.hosts[vm].wake = Instant::NEVER;
+                if self.vms[vm].start == start {
+                    self.vms[vm].wake = Instant::NEVER;
                     self.deliver(vm, Event::Tick);
                 }
             }
@@ -65,17 +67,17 @@
                 }
                 self.at(
                     now + WAY,
-                    Act::Event(vm, start, Event::Reported(server, report)),
+                    Act::Event(vm, start, Event::ReportReceived(server, report)),
                 );
             }
             Act::Peer(from, to, message) => {
                 let sender: Vm = name(&format!("vm{from}"));
-                let linked = self.hosts[to].peers && self.hosts[from].peers;
-                let linked = linked && self.hosts[to].side == self.hosts[from].side;
-                if linked && self.hosts[to].net && self.hosts[to].gateway.is_some() {
-                    self.deliver(to, Event::Peer(sender, message));
-                } else if self.hosts[from].net {
-                    let down = Event::PeerDown(setup::address(1, to), Fault::Unreachable);
+                let linked = self.vms[to].peers_reachable && self.vms[from].peers_reachable;
+                let linked = linked && self.vms[to].partition == self.vms[from].partition;
+                if linked && self.vms[to].network_up && self.vms[to].gateway.is_some() {
+                    self.deliver(to, Event::PeerMessage(sender, message));
+                } else if self.vms[from].network_up {
+                    let down = Event::PeerDown(setup::address(1, to), LinkFault::Unreachable);
                     self.deliver(from, down);
                 }
             }
@@ -91,8 +93,8 @@
                 }
                 self.at(self.now + Span::from_millis(50), Act::Expire);
             }
-            Act::Free(vm, start) if self.hosts[vm].start == start => {
-                if let Some(event) = self.hosts[vm].queue.pop_front() {
+            Act::Free(vm, start) if self.vms[vm].start == start => {
+                if let Some(event) = self.vms[vm].queue.pop_front() {
                     self.handle(vm, event);
                 }
             }
@@ -102,8 +104,8 @@
             Act::Unlist(server) => self.unlist_server(server),
             Act::Succeed(id, engine, backend) => self.succeed(&id, engine, &backend),
             Act::Thaw(vm) => {
-                self.hosts[vm].frozen = None;
-                for event in std::mem::take(&mut self.hosts[vm].backlog) {
+                self.vms[vm].frozen = None;
+                for event in std::mem::take(&mut self.vms[vm].backlog) {
                     self.deliver(vm, event);
                 }
                 self.deliver(vm, Event::Tick);
@@ -111,21 +113,21 @@
         }
     }
 
-    pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: Op) {
-        if self.hosts[vm].silent {
-            let event = Event::Store(op, Outcome::Unknown);
+    pub(super) fn call_store(&mut self, vm: usize, start: u64, op: u64, call: KvOperation) {
+        if self.vms[vm].store_silent {
+            let event = Event::KvAnswered(op, KvOutcome::Unknown);
             self.at(self.now + SILENT_CALL, Act::Event(vm, start, event));
             return;
         }
-        let reached = self.store_up && self.hosts[vm].store;
+        let reached = self.store_up && self.vms[vm].store_reachable;
         let outcome = if reached {
             self.store.call(self.now, vm, op, call)
         } else {
-            Some(Outcome::Refused)
+            Some(KvOutcome::Refused)
         };
         if let Some(outcome) = outcome {
             let at = self.now + STORE_WAY + self.lag(vm, &outcome);
-            self.at(at, Act::Event(vm, start, Event::Store(op, outcome)));
+            self.at(at, Act::Event(vm, start, Event::KvAnswered(op, outcome)));
         }
         self.wake_watchers();
     }
@@ -135,39 +137,39 @@
         if !self.store_up {
             let cut: Vec<_> = self.store.waiters.drain(..).collect();
             for waiter in cut {
-                self.answer_store(waiter.vm, waiter.op, Outcome::Unknown);
+                self.answer_store(waiter.vm, waiter.op, KvOutcome::Unknown);
             }
             return;
         }
         for (vm, op, outcome) in self.store.wake(self.now) {
-            let outcome = if self.hosts[vm].store {
+            let outcome = if self.vms[vm].store_reachable {
                 outcome
             } else {
-                Outcome::Unknown
+                KvOutcome::Unknown
             };
             self.answer_store(vm, op, outcome);
         }
     }
 
-    pub(super) fn answer_store(&mut self, vm: usize, op: u64, outcome: Outcome) {
-        let start = self.hosts.get(vm).map_or(0, |host| host.start);
-        let silent = self.hosts.get(vm).is_some_and(|host| host.silent);
+    pub(super) fn answer_store(&mut self, vm: usize, op: u64, outcome: KvOutcome) {
+        let start = self.vms.get(vm).map_or(0, |host| host.start);
+        let silent = self.vms.get(vm).is_some_and(|host| host.store_silent);
         let (outcome, at) = if silent {
             // The caller's own limit ends its wait.
-            (Outcome::Unknown, self.now + SILENT_CALL)
+            (KvOutcome::Unknown, self.now + SILENT_CALL)
         } else {
             let lag = self.lag(vm, &outcome);
             (outcome, self.now + STORE_WAY + lag)
         };
-        self.at(at, Act::Event(vm, start, Event::Store(op, outcome)));
+        self.at(at, Act::Event(vm, start, Event::KvAnswered(op, outcome)));
     }
 
-    pub(super) fn lag(&self, vm: usize, outcome: &Outcome) -> Span {
-        let leadership = |change: &Change| matches!(change.fact, Some(Fact::Holder(_)));
+    pub(super) fn lag(&self, vm: usize, outcome: &KvOutcome) -> Span {
+        let leadership = |change: &Change| matches!(change.value, Some(EntryValue::Holder(_)));
         match outcome {
-            Outcome::Written(_) => self.hosts[vm].store_lag,
-            Outcome::Watched(changes, _) if changes.iter().any(leadership) => {
-                self.hosts[vm].store_lag
+            KvOutcome::Written(_) => self.vms[vm].store_delay,
+            KvOutcome::Watched(changes, _) if changes.iter().any(leadership) => {
+                self.vms[vm].store_delay
             }
             _ => Span::ZERO,
         }
@@ -192,34 +194,34 @@
             .unwrap_or(0);
         let outcome = match self.servers.get_mut(server) {
             Some((engine, _)) if engine.up => engine.order(now, newest, order),
-            _ => Ordered::Unknown,
+            _ => OrderOutcome::Unknown,
         };
         if !silent {
-            if outcome != Ordered::Unknown {
+            if outcome != OrderOutcome::Unknown {
                 self.head_in(WAY, (vm, start), server, now.back(WAY));
             }
             self.at(
                 now + WAY,
-                Act::Event(vm, start, Event::Ordered(id, outcome)),
+                Act::Event(vm, start, Event::OrderAnswered(id, outcome)),
             );
         }
     }
 
-    pub(super) fn arrive(&mut self, vm: usize, start: u64, number: u64, send: &Send) {
+    pub(super) fn arrive(&mut self, vm: usize, start: u64, number: u64, send: &Attempt) {
         let now = self.now;
         if self.servers.get(&send.server).is_some_and(|(e, _)| e.up) {
             self.reached(vm, &send.server, true);
         }
-        let Some(asked) = self.asked.get_mut(&number) else {
+        let Some(asked) = self.requests.get_mut(&number) else {
             return;
         };
         asked.arrivals += 1;
-        let call = asked.call.clone();
-        let failed = |ran, cause| Event::Failed(number, ran, cause);
+        let call = asked.request.clone();
+        let failed = |ran, cause| Event::AttemptFailed(number, ran, cause);
         let Some((engine, _)) = self.servers.get_mut(&send.server).filter(|(e, _)| e.up) else {
             self.at(
                 now + WAY,
-                Act::Event(vm, start, failed(Ran::No, Cause::Unreachable)),
+                Act::Event(vm, start, failed(Execution::No, FailureCause::Unreachable)),
             );
             return;
         };
@@ -234,14 +236,20 @@
         }
         if engine.resting {
             self.refusal_in(WAY, to, &send.server, left);
-            let refused = failed(Ran::No, Cause::Full);
+            let refused = failed(Execution::No, FailureCause::Full);
             self.at(now + WAY, Act::Event(vm, start, refused));
             return;
         }
         let times = match &call.work {
             None => Some((now + PLAIN_WORK, now + PLAIN_WORK)),
             Some(work) => match &work.adapter {
-                Some(adapter) => engine.draft(now, adapter, send.version, work.prompt, work.output),
+                Some(adapter) => engine.draft(
+                    now,
+                    adapter,
+                    send.version,
+                    work.prompt_tokens,
+                    work.max_output_tokens,
+                ),
                 None => Some((now, now)),
             },
         };
@@ -249,7 +257,7 @@
             self.head_in(WAY, to, &send.server, left);
             self.at(
                 now + WAY,
-                Act::Event(vm, start, failed(Ran::No, Cause::Missing)),
+                Act::Event(vm, start, failed(Execution::No, FailureCause::Missing)),
             );
             return;
         };
@@ -261,7 +269,7 @@
         if failing {
             self.at(
                 begun + WAY,
-                Act::Event(vm, start, failed(Ran::Yes, Cause::Status(500))),
+                Act::Event(vm, start, failed(Execution::Yes, FailureCause::Status(500))),
             );
             return;
         }
@@ -271,7 +279,7 @@
                 .unwrap_or(0)
                 .max(self.version_in_force(adapter));
             let ran = self.servers[&send.server].0.slots[adapter].version;
-            self.asked
+            self.requests
                 .get_mut(&number)
                 .expect("asked")
                 .versions
@@ -284,9 +292,9 @@
         };
         self.running.insert(number, run);
         let answer = |event| Act::Answer(number, server.clone(), event);
-        let completed = answer(Event::Completed(number, Span::ZERO));
+        let completed = answer(Event::AnswerCompleted(number, Span::ZERO));
         if call.work.is_some() || !crashes {
-            self.at(begun + WAY, answer(Event::Begun(number)));
+            self.at(begun + WAY, answer(Event::AnswerStarted(number)));
         }
         if crashes {
             let fall = Act::Fall(server, call.fingerprint);
@@ -298,7 +306,7 @@
 
     pub(super) fn deliver(&mut self, vm: usize, event: Event) {
         let now = self.now;
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         if host.frozen.is_some_and(|until| until > now) {
             host.backlog.push(event);
             return;
@@ -316,31 +324,35 @@
     /// A VM's processor takes an event up.
     fn handle(&mut self, vm: usize, event: Event) {
         let now = self.now;
-        if self.hosts[vm].gateway.is_none() {
+        if self.vms[vm].gateway.is_none() {
             return;
         }
         self.record(vm, &event);
         let mut effects = Vec::new();
-        let (each, run) = self.hosts[vm].work;
-        let gateway = self.hosts[vm].gateway.as_mut().expect("it runs");
+        let (each, run) = self.vms[vm].cpu_cost;
+        let gateway = self.vms[vm].gateway.as_mut().expect("it runs");
         gateway.step(now, event, &mut effects);
         let faults = gateway.verify();
         assert!(faults.is_empty(), "at {now}: {faults:?}");
-        let took = if gateway.ran() { each + run } else { each };
-        if gateway.ran() {
-            gateway.took(took);
+        let took = if gateway.scheduler_ran() {
+            each + run
+        } else {
+            each
+        };
+        if gateway.scheduler_ran() {
+            gateway.record_step_duration(took);
         }
-        let wake = gateway.wake();
+        let wake = gateway.next_wakeup();
         for effect in effects {
             self.perform(vm, effect);
         }
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         if took > Span::ZERO {
             host.taken = now + took;
             let (at, start) = (host.taken, host.start);
             self.at(at, Act::Free(vm, start));
         }
-        let host = &mut self.hosts[vm];
+        let host = &mut self.vms[vm];
         if wake < host.wake && wake != Instant::NEVER {
             host.wake = wake;
             let start = host.start;
@@ -352,13 +364,13 @@
     pub(super) fn record(&mut self, vm: usize, event: &Event) {
         let now = self.now;
         match event {
-            Event::Begun(number) => {
-                if let Some(asked) = self.asked.get_mut(number).filter(|a| a.ended.is_none()) {
+            Event::AnswerStarted(number) => {
+                if let Some(asked) = self.requests.get_mut(number).filter(|a| a.ended.is_none()) {
                     asked.ended = Some((now, Answer::Served(now)));
                 }
             }
-            Event::Completed(number, _) => {
-                if let Some(asked) = self.asked.get_mut(number) {
+            Event::AnswerCompleted(number, _) => {
+                if let Some(asked) = self.requests.get_mut(number) {
                     let begun = match &asked.ended {
                         Some((_, Answer::Served(begun))) => *begun,
                         Some(_) => return,
@@ -373,49 +385,49 @@
     }
 
     pub(super) fn perform(&mut self, vm: usize, effect: Effect) {
-        let (now, start, net) = (self.now, self.hosts[vm].start, self.hosts[vm].net);
+        let (now, start, net) = (self.now, self.vms[vm].start, self.vms[vm].network_up);
         match effect {
-            Effect::Request(number, Verdict::Send(send)) if net => {
+            Effect::Request(number, NextStep::Attempt(send)) if net => {
                 self.at(now + WAY, Act::Arrive(vm, start, number, *send));
             }
-            Effect::Request(number, Verdict::Send(_)) => {
-                let event = Event::Failed(number, Ran::No, Cause::Unreachable);
+            Effect::Request(number, NextStep::Attempt(_)) => {
+                let event = Event::AttemptFailed(number, Execution::No, FailureCause::Unreachable);
                 self.at(now + Span::from_millis(400), Act::Event(vm, start, event));
             }
             Effect::Request(number, verdict) => {
                 let answer = match verdict {
-                    Verdict::Refuse(reason, after) => Answer::Refused(reason, after),
-                    Verdict::Deliver => Answer::Failure,
+                    NextStep::Refuse(reason, after) => Answer::Refused(reason, after),
+                    NextStep::ForwardFailure => Answer::Failure,
                     _ => Answer::Cut,
                 };
-                if let Some(asked) = self.asked.get_mut(&number) {
+                if let Some(asked) = self.requests.get_mut(&number) {
                     asked.ended = Some((now, answer));
                 }
             }
-            Effect::Store(op, call) => {
+            Effect::KvCall(op, call) => {
                 self.tried += 1;
                 self.at(now + STORE_WAY, Act::Store(vm, start, op, call));
             }
             Effect::Order(id, server, _, order) => self.send_order(vm, id, server, order),
-            Effect::Track(server, all) => self.track(vm, server, all),
+            Effect::TrackAnswers(server, all) => self.track(vm, server, all),
             Effect::Probe(server, _) => self.probe(vm, server),
             Effect::Report(server, _) if net => self.at(now + WAY, Act::Report(vm, start, server)),
             Effect::Report(server, _) => {
                 self.at(
                     now + Span::from_millis(300),
-                    Act::Event(vm, start, Event::Reported(server, None)),
+                    Act::Event(vm, start, Event::ReportReceived(server, None)),
                 );
             }
-            Effect::Peer(address, _, message) => {
+            Effect::SendMessage(address, _, message) => {
                 self.messages += 1;
-                *self.sent.entry(message.kind()).or_default() += 1;
-                let to = (0..self.hosts.len()).find(|to| setup::address(1, *to) == address);
+                *self.messages_by_kind.entry(message.kind()).or_default() += 1;
+                let to = (0..self.vms.len()).find(|to| setup::address(1, *to) == address);
                 if let Some(to) = to.filter(|_| net) {
                     self.at(now + WAY, Act::Peer(vm, to, message));
                 }
             }
             Effect::Log(record) => self
-                .lines
+                .log_lines
                 .push(format!("{now} vm{vm} {:?} {}", record.code, record.detail)),
             Effect::Measure(_) => {}
         }
@@ -423,12 +435,12 @@
 
     /// Sends an order. A late one gets no answer, and is carried out seconds later.
     pub(super) fn send_order(&mut self, vm: usize, id: u64, server: Server, order: Order) {
-        let (now, start) = (self.now, self.hosts[vm].start);
-        let late = self.rng.random_range(0.0..1.0) < self.late_orders;
-        if late || !self.hosts[vm].net {
+        let (now, start) = (self.now, self.vms[vm].start);
+        let late = self.rng.random_range(0.0..1.0) < self.delayed_order_share;
+        if late || !self.vms[vm].network_up {
             self.at(
-                now + order.patience,
-                Act::Event(vm, start, Event::Ordered(id, Ordered::Unknown)),
+                now + order.answer_timeout,
+                Act::Event(vm, start, Event::OrderAnswered(id, OrderOutcome::Unknown)),
             );
             if late {
                 let delay = Span::from_millis(self.rng.random_range(2_000..12_000));
--- a/crates/gateway/tests/support/world/fall.rs
+++ b/crates/gateway/tests/support/world/fall.rs
@@ -6,8 +6,8 @@
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
-use dahliastile_gateway::cluster::fact::{Backend, Subject};
-use dahliastile_gateway::event::{Cause, Event, Presence, Ran};
+use dahliastile_gateway::cluster::snapshot::{Backend, EntryKey};
+use dahliastile_gateway::event::{Event, Execution, FailureCause, ProbeResult};
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 
 use super::{Act, Answer, WAY, World};
@@ -47,13 +47,13 @@
     /// Where each came from that reached a server.
     pub arrivals: Vec<Arrival>,
     /// When a server ended under each.
-    pub ends: Vec<(Instant, Fingerprint)>,
+    pub crashes: Vec<(Instant, Fingerprint)>,
 }
 
 impl Crashing {
     /// How often a request reached a server later than a span after the third server ended under it.
     pub fn late_arrivals(&self, fingerprint: Fingerprint, span: Span) -> usize {
-        let Some(third) = self.third_end(fingerprint) else {
+        let Some(third) = self.third_crash(fingerprint) else {
             return 0;
         };
         let from = third + span;
@@ -62,28 +62,28 @@
     }
 
     /// When the third server ended under a request.
-    pub fn third_end(&self, fingerprint: Fingerprint) -> Option<Instant> {
-        let mut ends = self.ends.iter().filter(|(_, of)| *of == fingerprint);
+    pub fn third_crash(&self, fingerprint: Fingerprint) -> Option<Instant> {
+        let mut ends = self.crashes.iter().filter(|(_, of)| *of == fingerprint);
         ends.nth(2).map(|(at, _)| *at)
     }
 
     /// How many servers ended under a request.
-    pub fn ends_of(&self, fingerprint: Fingerprint) -> usize {
-        let ends = self.ends.iter();
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
+        let ends = self.crashes.iter();
         ends.filter(|(_, of)| *of == fingerprint).count()
     }
 }
 
 impl World {
     /// A server's process ends, and another one comes in its place.
-    pub fn fall(&mut self, server: &Server) {
+    pub fn crash_and_replace(&mut self, server: &Server) {
         let now = self.now;
         let Some((engine, backend)) = self.servers.get_mut(server).filter(|(e, _)| e.up) else {
             return;
         };
         engine.up = false;
         let successor = (engine.adapters, backend.clone());
-        self.reset(server);
+        self.reset_connections(server);
         self.at(now + ENTRY_GOES, Act::Unlist(server.clone()));
         self.fallen += 1;
         let id = format!("{server}.{}", self.fallen);
@@ -93,13 +93,13 @@
     /// A server ends under a request.
     pub(super) fn fall_under(&mut self, server: &Server, fingerprint: Fingerprint) {
         if self.servers[server].0.up {
-            self.crashing.ends.push((self.now, fingerprint));
-            self.fall(server);
+            self.crashing.crashes.push((self.now, fingerprint));
+            self.crash_and_replace(server);
         }
     }
 
     /// All connections to a server break, and it lives.
-    pub fn reset(&mut self, server: &Server) {
+    pub fn reset_connections(&mut self, server: &Server) {
         let there = self.running.iter().filter(|(_, run)| run.server == *server);
         let broken: Vec<u64> = there.map(|(number, _)| *number).collect();
         for number in broken {
@@ -111,18 +111,18 @@
         let Some(run) = self.running.remove(&number) else {
             return;
         };
-        if let Some(asked) = self.asked.get_mut(&number) {
-            let resumable = asked.call.path.starts_with("/berth/");
+        if let Some(asked) = self.requests.get_mut(&number) {
+            let resumable = asked.request.path.starts_with("/berth/");
             if matches!(asked.ended, Some((_, Answer::Served(_)))) {
                 asked.ended = (!resumable).then_some((self.now, Answer::Cut));
             }
         }
-        let event = Event::Failed(number, Ran::Maybe, Cause::Broken);
+        let event = Event::AttemptFailed(number, Execution::Maybe, FailureCause::Broken);
         self.at(self.now + WAY, Act::Event(run.vm.0, run.vm.1, event));
     }
 
     pub(super) fn unlist_server(&mut self, server: Server) {
-        self.store.remove(&Subject::Server(server));
+        self.store.remove(&EntryKey::Server(server));
         self.wake_watchers();
     }
 
@@ -132,10 +132,10 @@
             return;
         };
         let (vm, start) = run.vm;
-        if matches!(event, Event::Completed(..)) {
+        if matches!(event, Event::AnswerCompleted(..)) {
             self.running.remove(&number);
         }
-        if self.hosts[vm].start == start {
+        if self.vms[vm].start == start {
             self.deliver(vm, event);
         }
     }
@@ -144,13 +144,13 @@
     pub(super) fn probe(&mut self, vm: usize, server: Server) {
         self.probes += 1;
         let up = self.servers.get(&server).is_some_and(|(e, _)| e.up);
-        let (presence, after) = match self.hosts[vm].net {
-            true if up => (Presence::Listens, WAY.times(2)),
-            true => (Presence::Refuses, WAY.times(2)),
-            false => (Presence::Silent, Span::from_millis(400)),
+        let (presence, after) = match self.vms[vm].network_up {
+            true if up => (ProbeResult::Listens, WAY.times(2)),
+            true => (ProbeResult::Refuses, WAY.times(2)),
+            false => (ProbeResult::Silent, Span::from_millis(400)),
         };
         let event = Event::Probed(server, presence);
-        let start = self.hosts[vm].start;
+        let start = self.vms[vm].start;
         self.at(self.now + after, Act::Event(vm, start, event));
     }
 
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
 use dahliastile_gateway::event::Event;
-use dahliastile_gateway::request::notice::{Notice, Rate, Word};
+use dahliastile_gateway::request::notice::{Notice, NoticeField, Rate};
 
 use super::{Act, World};
 use crate::support::setup::name;
@@ -33,7 +33,7 @@
     /// When the server first told that start that it leaves.
     pub leaving: Option<Instant>,
     /// Whether the server had told that start of the VM of a limit for as long as counts.
-    pub told: bool,
+    pub limit_known: bool,
     /// The server.
     pub server: Server,
 }
@@ -95,17 +95,18 @@
 
 impl World {
     /// A server names a limit in its answers from now on, or none any more.
-    pub fn name_limit(&mut self, id: &str, limit: Option<Rate>) {
+    pub fn announce_limit(&mut self, id: &str, limit: Option<Rate>) {
         let server: Server = name(id);
         let limits = self.notices.limits.entry(server.clone()).or_default();
         limits.push((self.now, limit));
-        self.notices.says.entry(server).or_default().limit = limit.map_or(Word::Unsaid, Word::Said);
+        self.notices.says.entry(server).or_default().limit =
+            limit.map_or(NoticeField::Absent, NoticeField::Present);
     }
 
     /// Something reaches a server from a VM.
     pub(super) fn reached(&mut self, vm: usize, server: &Server, request: bool) {
         if self.notices.says.contains_key(server) {
-            let start = self.hosts[vm].start;
+            let start = self.vms[vm].start;
             let key = (vm, start, server.clone());
             let told = self.notices.told.get(&key);
             self.notices.arrivals.push(Arrival {
@@ -114,7 +115,7 @@
                 vm,
                 start,
                 leaving: self.notices.left.get(&key).copied(),
-                told: told.is_some_and(|at| *at + TOLD <= self.now),
+                limit_known: told.is_some_and(|at| *at + TOLD <= self.now),
                 server: server.clone(),
             });
         }
@@ -162,13 +163,13 @@
         } = head;
         let mut notice = self.notices.says[&server];
         if !turned_away {
-            notice.rest = Word::Unsaid;
+            notice.cooldown = NoticeField::Absent;
         }
         let key = (vm, start, server.clone());
         if notice.leaving {
             self.notices.left.entry(key.clone()).or_insert(self.now);
         }
-        if let Word::Said(span) = notice.rest {
+        if let NoticeField::Present(span) = notice.cooldown {
             self.notices.rests.push(Rest {
                 at: self.now,
                 span,
@@ -176,7 +177,7 @@
                 server: server.clone(),
             });
         }
-        if matches!(notice.limit, Word::Said(_)) {
+        if matches!(notice.limit, NoticeField::Present(_)) {
             self.notices.told.entry(key.clone()).or_insert(self.now);
         }
         let last = self.notices.tracked.get_mut(&key);
@@ -188,14 +189,14 @@
             Some(last) => *last <= sent,
             None => !notice.is_empty(),
         };
-        if told && self.hosts[vm].start == start {
-            self.deliver(vm, Event::Noticed(server, notice));
+        if told && self.vms[vm].start == start {
+            self.deliver(vm, Event::NoticeReceived(server, notice));
         }
     }
 
     /// A VM wants all answers of a server told, or only those that say something of it.
     pub(super) fn track(&mut self, vm: usize, server: Server, all: bool) {
-        let key = (vm, self.hosts[vm].start, server);
+        let key = (vm, self.vms[vm].start, server);
         if all {
             self.notices.tracked.entry(key).or_insert(self.now);
         } else {
@@ -205,12 +206,12 @@
 
     /// What a server got in each of the windows that saw more of it than the limit allows that it named, with what was allowed.
     /// Whichever VM was told, what any sends counts from half a second after the server first named it.
-    pub fn over_limit(&self, id: &str) -> Vec<(Instant, u32, f64)> {
-        self.over_limit_of(id, |_| true)
+    pub fn windows_over_limit(&self, id: &str) -> Vec<(Instant, u32, f64)> {
+        self.windows_over_limit_where(id, |_| true)
     }
 
     /// The same of some of what the server got.
-    pub fn over_limit_of(
+    pub fn windows_over_limit_where(
         &self,
         id: &str,
         counts: impl Fn(&Arrival) -> bool,
@@ -241,7 +242,7 @@
     /// That no server got more than it named a limit for.
     pub fn check_limits(&self) {
         for server in self.notices.limits.keys() {
-            let over = self.over_limit(server.as_str());
+            let over = self.windows_over_limit(server.as_str());
             assert!(
                 over.is_empty(),
                 "{server}: {} windows, {:?}",
@@ -276,33 +277,34 @@
 
 impl World {
     /// A server says that it is leaving in its answers from now on, and nowhere else.
-    pub fn say_leaving(&mut self, id: &str) {
+    pub fn announce_leaving(&mut self, id: &str) {
         let server: Server = name(id);
         self.notices.says.entry(server).or_default().leaving = true;
     }
 
     /// A server no longer says so.
-    pub fn stay(&mut self, id: &str) {
+    pub fn withdraw_leaving(&mut self, id: &str) {
         let server: Server = name(id);
         self.notices.says.entry(server).or_default().leaving = false;
     }
 
     /// Whether a VM was told that a server leaves.
-    pub fn told_leaving(&self, id: &str) -> bool {
+    pub fn has_told_leaving(&self, id: &str) -> bool {
         let mut told = self.notices.left.keys();
         told.any(|(_, _, server)| server.as_str() == id)
     }
 
     /// A server turns all requests away from now on and asks each VM for so much rest; or takes them again.
-    pub fn ask_rest(&mut self, id: &str, rest: Option<Span>) {
+    pub fn announce_cooldown(&mut self, id: &str, rest: Option<Span>) {
         let server: Server = name(id);
         let (engine, _) = self.servers.get_mut(&server).expect("a server");
         engine.resting = rest.is_some();
-        self.notices.says.entry(server).or_default().rest = rest.map_or(Word::Unsaid, Word::Said);
+        self.notices.says.entry(server).or_default().cooldown =
+            rest.map_or(NoticeField::Absent, NoticeField::Present);
     }
 
     /// The requests that reached a server from a VM later than a span after that VM was told that it leaves.
-    pub fn after_leaving(&self, id: &str, bound: Span) -> Vec<&Arrival> {
+    pub fn requests_after_leaving(&self, id: &str, bound: Span) -> Vec<&Arrival> {
         let late = |a: &&Arrival| {
             let told = a.leaving.is_some_and(|told| a.at.since(told) > bound);
             told && a.request && a.server.as_str() == id
@@ -311,12 +313,16 @@
     }
 
     /// How many requests and orders reached a server from a VM in the longest of its rests, from half a second on.
-    pub fn most_in_rest(&self, id: &str) -> usize {
-        self.most_in_rest_of(id, |_| true)
+    pub fn max_arrivals_in_cooldown(&self, id: &str) -> usize {
+        self.max_arrivals_in_cooldown_where(id, |_| true)
     }
 
     /// The same of some of what the server got.
-    pub fn most_in_rest_of(&self, id: &str, counts: impl Fn(&Arrival) -> bool) -> usize {
+    pub fn max_arrivals_in_cooldown_where(
+        &self,
+        id: &str,
+        counts: impl Fn(&Arrival) -> bool,
+    ) -> usize {
         let server: Server = name(id);
         let rests = self
             .notices
--- a/crates/shell/src/dialect.rs
+++ b/crates/shell/src/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Op, Order, Reason, Send};
-use dahliastile_gateway::event::{Call, Cause, Ordered, Outcome, Report};
+use dahliastile_gateway::effect::{Attempt, KvOperation, Order, RefusalReason};
+use dahliastile_gateway::event::{CallerRequest, FailureCause, KvOutcome, OrderOutcome, Report};
 use dahliastile_gateway::request::notice::Notice;
 use dahliastile_gateway::settings::Tuning;
 use http::{Request, Response, request, response};
@@ -30,7 +30,7 @@
     /// The answer to the request, or to be passed on as it is.
     Answer,
     /// The server did not run the request and never will.
-    NotRun(Cause),
+    NotRun(FailureCause),
     /// The server ran the request, or tried, and failed.
     Failure(u16),
     /// No answer to this request.
@@ -43,20 +43,20 @@
     ///
     /// # Errors
     /// Where the head can't be served by any configuration.
-    fn call(&self, head: &request::Parts, body: &[u8]) -> Result<Call, Rejection>;
+    fn call(&self, head: &request::Parts, body: &[u8]) -> Result<CallerRequest, Rejection>;
 
     /// The answer to a request that was not taken in.
     fn rejected(&self, rejection: Rejection) -> Response<Bytes>;
 
     /// The answer to a request that no server answers, and when its caller may come back.
-    fn refused(&self, reason: Reason, after: Option<Span>) -> Response<Bytes>;
+    fn refused(&self, reason: RefusalReason, after: Option<Span>) -> Response<Bytes>;
 
     /// A caller's request as it is sent to a server; where a stream goes on, after the event with this id.
     fn request(
         &self,
         head: &request::Parts,
         body: Bytes,
-        send: &Send,
+        send: &Attempt,
         after: Option<&str>,
     ) -> Request<Bytes>;
 
@@ -79,7 +79,7 @@
     fn reload(&self) -> Result<Tuning, String>;
 
     /// Calls the key-value service.
-    fn store(&self, client: Client, op: Op) -> impl Future<Output = Outcome> + 'static;
+    fn store(&self, client: Client, op: KvOperation) -> impl Future<Output = KvOutcome> + 'static;
 
     /// Orders something of a server; with what its answer says of it, where one came.
     fn order(
@@ -88,7 +88,7 @@
         server: Server,
         address: SocketAddr,
         order: Order,
-    ) -> impl Future<Output = (Ordered, Option<Notice>)> + 'static;
+    ) -> impl Future<Output = (OrderOutcome, Option<Notice>)> + 'static;
 
     /// Asks a server for its report, none where it gave none; with what its answer says of it, where one came.
     fn report(
--- a/crates/shell/src/request.rs
+++ b/crates/shell/src/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dahliastile_core::time::Span;
-use dahliastile_gateway::effect::{Reason, Send, Verdict};
+use dahliastile_gateway::effect::{Attempt, NextStep, RefusalReason};
 use dahliastile_gateway::event::{Event, RequestId};
 use http::{Request, Response, request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -26,7 +26,7 @@
     /// Its body.
     pub(crate) body: Bytes,
     /// What the gateway says.
-    pub(crate) verdicts: UnboundedReceiver<Verdict>,
+    pub(crate) verdicts: UnboundedReceiver<NextStep>,
 }
 
 /// Serves one request.
@@ -46,7 +46,7 @@
         id,
         done: false,
     };
-    hub.post(Event::Arrived(id, Box::new(call)));
+    hub.post(Event::RequestArrived(id, Box::new(call)));
     let asked = Asked {
         ticket,
         head,
@@ -71,7 +71,7 @@
         let mut next = self.verdicts.recv().await;
         loop {
             match next {
-                Some(Verdict::Send(send)) => match self.send(&send).await {
+                Some(NextStep::Attempt(send)) => match self.send(&send).await {
                     Step::Answer(answer) => return whole(answer),
                     Step::Stream(stream) => return stream::begin(self, *send, *stream),
                     Step::Failed(response) => {
@@ -80,28 +80,28 @@
                     }
                     Step::Told(verdict) => next = verdict,
                 },
-                Some(Verdict::Deliver) => {
+                Some(NextStep::ForwardFailure) => {
                     self.ticket.done = true;
-                    return whole(kept.unwrap_or_else(|| self.refuse(Reason::Failed, None)));
+                    return whole(kept.unwrap_or_else(|| self.refuse(RefusalReason::Failed, None)));
                 }
-                Some(Verdict::Refuse(reason, after)) => {
+                Some(NextStep::Refuse(reason, after)) => {
                     self.ticket.done = true;
                     return whole(self.refuse(reason, after));
                 }
-                Some(Verdict::Cut) | None => {
+                Some(NextStep::AbortAnswer) | None => {
                     self.ticket.done = true;
-                    return whole(self.refuse(Reason::TimedOut, None));
+                    return whole(self.refuse(RefusalReason::TimedOut, None));
                 }
             }
         }
     }
 
-    fn refuse(&self, reason: Reason, after: Option<Span>) -> Response<Bytes> {
+    fn refuse(&self, reason: RefusalReason, after: Option<Span>) -> Response<Bytes> {
         self.ticket.hub.dialect.refused(reason, after)
     }
 
     /// Sends the request once, unless the gateway says otherwise meanwhile.
-    async fn send(&mut self, send: &Send) -> Step {
+    async fn send(&mut self, send: &Attempt) -> Step {
         let hub = self.ticket.hub.clone();
         let id: RequestId = self.ticket.id;
         let tried = tokio::select! {
@@ -111,14 +111,14 @@
         };
         match tried {
             Tried::Whole(response) => {
-                self.ticket.finish(Event::Completed(id, Span::ZERO));
+                self.ticket.finish(Event::AnswerCompleted(id, Span::ZERO));
                 Step::Answer(response)
             }
             Tried::Stream(head, body, connection) => {
                 Step::Stream(Box::new((head, body, connection)))
             }
             Tried::Failed(ran, cause, response) => {
-                hub.post(Event::Failed(id, ran, cause));
+                hub.post(Event::AttemptFailed(id, ran, cause));
                 Step::Failed(response)
             }
         }
@@ -134,5 +134,5 @@
     /// The server failed, perhaps with an answer that can be passed on.
     Failed(Option<Response<Bytes>>),
     /// The gateway said something meanwhile.
-    Told(Option<Verdict>),
+    Told(Option<NextStep>),
 }
