--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -1,12 +1,16 @@
-//! The VMs together: who is there, who schedules, and what all know of the key-value service.
+//! What the VMs of a deployment do together: membership, the scheduler's leadership, and the copy of the
+//! key-value service's entries that each VM keeps.
 //!
-//! * [`snapshot`]: what the key-value service says, each fact with its revision.
-//! * `watch`: reading and watching it, and peers when it is away; `relay`: which VMs tell others; `replication`: what they tell each
-//!   other of its changes; `apply`: what a change does here.
-//! * `membership`: the other VMs; `registration`: this VM's own entry, by which others find it; `lease`: how a lease is kept.
-//! * `leadership`: the right to run a service's scheduler, and the fencing number of orders; `candidacy`: who may take it, and when;
-//!   `lease_vote`: how its holder goes on while the key-value service answers nobody.
-//! * `exclusion`: VMs that did not do what was asked of them, and are not asked again for a while.
+//! * [`snapshot`]: the entries of the key-value service that this VM knows, each with its revision.
+//! * `watch`: how this VM watches the key-value service, directly or through another VM; `relay`: which VMs
+//!   watch directly and which relay to their availability zone; `replication`: the changes that VMs send to
+//!   each other; `apply`: the effects of a change on this VM.
+//! * `membership`: the other VMs; `registration`: this VM's own entry, by which others find it; `lease`:
+//!   granting and renewing a lease.
+//! * `leadership`: the right to run a service's scheduler, and the fencing token of its orders; `candidacy`:
+//!   which VM may take a leadership, and when; `lease_vote`: how the holder of a leadership goes on while the
+//!   key-value service answers no VM.
+//! * `exclusion`: VMs that failed to do what was asked of them and are not asked again for a while.
 
 pub(crate) mod apply;
 pub(crate) mod candidacy;
--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -1,4 +1,5 @@
-//! What a change of a fact does on this VM, whatever way it came: by its own watch, a list, another VM or a conflict.
+//! Applies changes of the key-value service's entries to this VM, whether they came by its own watch, a list,
+//! another VM or a conflict.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,101 +16,106 @@
 use crate::request::quarantine::QUARANTINE_DURATION;
 use crate::timer::Timer;
 
-/// The least time between two lines on entries that can't be read.
-const UNREADABLE_AGAIN: Span = Span::from_secs(1);
+/// The least time between two log lines about unreadable entries.
+const UNREADABLE_LOG_INTERVAL: Span = Span::from_secs(1);
 
-/// What is noted beside the facts.
+/// State kept beside the snapshot to apply changes.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// Servers whose entry lapsed while the key-value service was away, and until when they may come back.
-    lapsed: BTreeMap<Server, Instant>,
-    /// Whether servers tell their starts here.
-    starts: bool,
-    /// Entries that could not be read since the last line on one.
-    unreadable: u64,
-    /// When that line was written.
-    told: Instant,
+    /// Servers whose entries disappeared while the key-value service was away, each with the time until which
+    /// the entry may return before the server is removed.
+    lapsed_servers: BTreeMap<Server, Instant>,
+    /// Whether any server has reported its start.
+    servers_report_starts: bool,
+    /// Number of unreadable entries since the last log line about one.
+    unreadable_since_log: u64,
+    /// When that line was logged.
+    last_unreadable_log: Instant,
 }
 
 impl Gateway {
-    /// Takes changes in. Where the key-value service was away until a moment ago, servers whose entries are gone may
-    /// still come back.
+    /// Applies `changes`. With `is_recovering`, the key-value service was away until a moment ago, and a server
+    /// whose entry is gone is kept for a grace period, since it may still write the entry again.
     pub(crate) fn apply_changes(
         &mut self,
         changes: Vec<Change>,
-        way: Delivery,
-        recovering: bool,
+        delivery: Delivery,
+        is_recovering: bool,
         out: &mut Effects,
     ) {
         for change in changes {
             match &change.key {
-                EntryKey::Server(server) if recovering && change.value.is_none() => {
-                    // It may be told late, and the server be back by now.
-                    if self.snapshot.lacks(&change) {
-                        self.lapse(server.clone(), out);
+                EntryKey::Server(server) if is_recovering && change.value.is_none() => {
+                    // The deletion may arrive late, after the server's entry has returned.
+                    if self.snapshot.is_newer(&change) {
+                        self.start_lapse_grace(server.clone(), out);
                     }
                 }
-                _ => self.apply(change, way, out),
+                _ => self.apply(change, delivery, out),
             }
         }
     }
 
-    /// Takes a whole list in. What it lacks is gone, but for servers while the key-value service comes back.
+    /// Applies a complete list. An entry that the list lacks is deleted, except that while the key-value
+    /// service recovers a server without an entry is kept for a grace period.
     pub(crate) fn apply_list(
         &mut self,
         changes: Vec<Change>,
         revision: Revision,
         out: &mut Effects,
     ) {
-        let known: Vec<EntryKey> = self.snapshot.present().map(|c| c.key.clone()).collect();
+        let known: Vec<EntryKey> = self.snapshot.existing().map(|c| c.key.clone()).collect();
         let listed: BTreeSet<EntryKey> = changes.iter().map(|c| c.key.clone()).collect();
         self.apply_changes(changes, Delivery::LatestOnly, false, out);
-        for subject in known.into_iter().filter(|s| !listed.contains(s)) {
-            match subject {
+        for key in known.into_iter().filter(|s| !listed.contains(s)) {
+            match key {
                 EntryKey::Config | EntryKey::Version(..) => {}
-                EntryKey::Server(server) if self.recovering() => self.lapse(server, out),
-                subject => self.apply(removal(subject, revision), Delivery::LatestOnly, out),
+                EntryKey::Server(server) if self.is_recovering() => {
+                    self.start_lapse_grace(server, out);
+                }
+                key => self.apply(deletion(key, revision), Delivery::LatestOnly, out),
             }
         }
     }
 
-    fn lapse(&mut self, server: Server, out: &mut Effects) {
+    fn start_lapse_grace(&mut self, server: Server, out: &mut Effects) {
         let until = self.now + self.settings.tuning.lapse_grace;
         Self::log(
             out,
             Code::EntryLapsed,
             format!("server={server} until={until}"),
         );
-        self.snapshot.lapse(&EntryKey::Server(server.clone()));
-        self.applied.lapsed.entry(server).or_insert(until);
+        self.snapshot.mark_lapsed(&EntryKey::Server(server.clone()));
+        self.applied.lapsed_servers.entry(server).or_insert(until);
         self.timers.set(until, Timer::Watch);
     }
 
-    pub(crate) fn drop_lapsed(&mut self, out: &mut Effects) {
+    pub(crate) fn remove_lapsed_servers(&mut self, out: &mut Effects) {
         let due: Vec<Server> = self
             .applied
-            .lapsed
+            .lapsed_servers
             .iter()
             .filter(|(_, at)| **at <= self.now)
             .map(|(s, _)| s.clone())
             .collect();
         for server in due {
-            self.applied.lapsed.remove(&server);
-            self.snapshot.forget(&EntryKey::Server(server.clone()));
-            self.lose_server(&server, out);
+            self.applied.lapsed_servers.remove(&server);
+            self.snapshot
+                .mark_deleted(&EntryKey::Server(server.clone()));
+            self.remove_server(&server, out);
         }
     }
 
-    /// Takes one change in, unless a newer one of its subject is known.
-    fn apply(&mut self, change: Change, way: Delivery, out: &mut Effects) {
+    /// Applies one change, unless an equally new or newer one of the same key is known.
+    fn apply(&mut self, change: Change, delivery: Delivery, out: &mut Effects) {
         if change.value == Some(EntryValue::Unreadable) {
-            self.note_unreadable(&change.key, out);
-            // What the operator wrote stays in force until it writes anew.
+            self.log_unreadable(&change.key, out);
+            // The operator's last readable entry stays in force until a readable one replaces it.
             if matches!(change.key, EntryKey::Config | EntryKey::Version(..)) {
                 return;
             }
         }
-        if !self.snapshot.apply(change.clone(), way) {
+        if !self.snapshot.apply(change.clone(), delivery) {
             return;
         }
         match (change.key, change.value) {
@@ -123,10 +129,10 @@
                 );
             }
             (EntryKey::Server(server), Some(EntryValue::Server(backend))) => {
-                self.applied.lapsed.remove(&server);
+                self.applied.lapsed_servers.remove(&server);
                 self.apply_server(&server, &backend, out);
             }
-            (EntryKey::Server(server), _) => self.lose_server(&server, out),
+            (EntryKey::Server(server), _) => self.remove_server(&server, out),
             (EntryKey::Holder(service), Some(EntryValue::Holder(holder))) => {
                 self.handle_new_holder(&service, &holder, change.revision, out);
             }
@@ -137,29 +143,30 @@
             (EntryKey::Quarantine(fingerprint), None) => {
                 self.end_quarantine(fingerprint, "record_gone", out);
             }
-            (EntryKey::Member(vm), None) if vm == self.settings.vm => self.registration_gone(),
+            (EntryKey::Member(vm), None) if vm == self.settings.vm => self.rewrite_registration(),
             (EntryKey::Member(vm), Some(EntryValue::Member(member))) => {
                 if vm == self.settings.vm && member.incarnation != self.settings.incarnation {
                     self.quota_restarted();
                 }
-                self.membership.listed(&vm, &member);
+                self.membership.record_listed(&vm, &member);
             }
-            (EntryKey::Member(vm), _) if self.membership.unlisted(&vm, self.now) => {
+            (EntryKey::Member(vm), _) if self.membership.record_unlisted(&vm, self.now) => {
                 self.remove_scheduler_vm(&vm);
             }
             _ => {}
         }
     }
 
-    /// Writes a line on an entry that can't be read. A writer of such entries may write any number of them.
-    fn note_unreadable(&mut self, subject: &EntryKey, out: &mut Effects) {
-        self.applied.unreadable += 1;
-        if self.now < self.applied.told + UNREADABLE_AGAIN {
+    /// Logs an unreadable entry, at most one line per [`UNREADABLE_LOG_INTERVAL`], since a faulty program may
+    /// write any number of them.
+    fn log_unreadable(&mut self, key: &EntryKey, out: &mut Effects) {
+        self.applied.unreadable_since_log += 1;
+        if self.now < self.applied.last_unreadable_log + UNREADABLE_LOG_INTERVAL {
             return;
         }
-        let since = std::mem::take(&mut self.applied.unreadable);
-        self.applied.told = self.now;
-        let detail = format!("subject={subject:?} since_last={since}");
+        let since = std::mem::take(&mut self.applied.unreadable_since_log);
+        self.applied.last_unreadable_log = self.now;
+        let detail = format!("subject={key:?} since_last={since}");
         Self::log(out, Code::EntryUnreadable, detail);
     }
 
@@ -179,30 +186,31 @@
         self.update_candidacies(out);
     }
 
-    /// Takes a server's entry in. Where any server tells its start all do, so that one that does not is another program's.
+    /// Applies a server's entry. If one server reports its start, all do: an entry without a start was then
+    /// written by another program and is ignored.
     fn apply_server(&mut self, server: &Server, backend: &Arc<Backend>, out: &mut Effects) {
         match backend.start {
-            Some(_) if !self.applied.starts => {
-                self.applied.starts = true;
-                let rows = self.servers.iter();
-                let without = rows.filter(|(_, row)| row.backend.start.is_none());
+            Some(_) if !self.applied.servers_report_starts => {
+                self.applied.servers_report_starts = true;
+                let states = self.servers.iter();
+                let without = states.filter(|(_, state)| state.backend.start.is_none());
                 let without: Vec<Server> = without.map(|(server, _)| server.clone()).collect();
                 for server in without {
-                    self.lose_server(&server, out);
+                    self.remove_server(&server, out);
                 }
             }
-            None if self.applied.starts => {
-                self.note_unreadable(&EntryKey::Server(server.clone()), out);
-                self.lose_server(server, out);
+            None if self.applied.servers_report_starts => {
+                self.log_unreadable(&EntryKey::Server(server.clone()), out);
+                self.remove_server(server, out);
                 return;
             }
             Some(_) | None => {}
         }
-        if let Some(row) = self.servers.get_mut(server) {
-            if row.backend.ready && !backend.ready {
+        if let Some(state) = self.servers.get_mut(server) {
+            if state.backend.ready && !backend.ready {
                 Self::log(out, Code::ServerLeaving, format!("server={server}"));
             }
-            let restarted = row.update_backend(backend);
+            let restarted = state.update_backend(backend);
             if restarted {
                 let detail = format!("server={server} start={:?}", backend.start);
                 Self::log(out, Code::ServerRestarted, detail);
@@ -221,23 +229,23 @@
         self.update_scheduler_server(server, backend);
     }
 
-    fn lose_server(&mut self, server: &Server, out: &mut Effects) {
-        if let Some(row) = self.servers.remove(server) {
+    fn remove_server(&mut self, server: &Server, out: &mut Effects) {
+        if let Some(state) = self.servers.remove(server) {
             Self::log(out, Code::ServerGone, format!("server={server}"));
             let leaving = self.notices.leaving(server).is_some();
             self.notices.server_unlisted(server, self.now);
             out.push(Effect::TrackAnswers(server.clone(), false));
-            // The end of one that was leaving is its own.
-            if row.backend.ready && !leaving {
+            // A server that announced that it is leaving ends by intention, not by a crash.
+            if state.backend.ready && !leaving {
                 self.server_ended(server, out);
             }
-            self.remove_scheduler_server(server, &row.backend.service);
+            self.remove_scheduler_server(server, &state.backend.service);
         }
     }
 }
 
-/// That a subject is gone as of a revision.
-fn removal(key: EntryKey, revision: Revision) -> Change {
+/// Returns the change that deletes `key` at `revision`.
+fn deletion(key: EntryKey, revision: Revision) -> Change {
     Change {
         key,
         revision,
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -1,4 +1,5 @@
-//! Who may take a leadership, and when: this VM's candidacy among those that could.
+//! Decides which VM may take a leadership and when: each VM's candidacy is delayed by its rank among the
+//! candidates.
 
 use std::cmp::Reverse;
 
@@ -6,7 +7,7 @@
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::lease_vote::VOTE;
+use crate::cluster::lease_vote::VOTE_DURATION;
 use crate::cluster::membership;
 use crate::cluster::snapshot::{EntryKey, EntryValue};
 use crate::effect::Effects;
@@ -14,110 +15,122 @@
 use crate::scheduler::client::HOLDER_TIMEOUT;
 use crate::timer::Timer;
 
-/// The time that a VM waits for each VM before it in the order of candidates before it takes a free leadership: some calls
-/// of the key-value service.
+/// The time for which a VM waits for each VM ranked before it, before it takes a free leadership: a few round
+/// trips to the key-value service.
 const CANDIDATE_GAP: Span = Span::from_millis(120);
 
-/// How long a VM holds a leadership before it leaves it to a stronger one: a new scheduler asks all engines for reports first.
-const TRIED: Span = Span::from_secs(5);
+/// The least time for which a VM holds a leadership before it resigns it to a stronger VM: a new scheduler
+/// first queries all engines for reports.
+const MIN_TRIAL: Span = Span::from_secs(5);
 
-/// How many times stronger that one is.
-const MUCH: u32 = 2;
+/// How many times as strong as this VM a peer must be for this VM to resign to it.
+const MUCH_STRONGER_FACTOR: u32 = 2;
 
-/// How long ago it was heard at most.
-const HEARD: Span = Span::from_secs(2);
+/// The longest time since such a peer was last heard.
+const HEARD_WITHIN: Span = Span::from_secs(2);
 
-/// A VM's candidacy for a leadership.
+/// This VM's plan to take a leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Candidacy {
-    /// It looks then who is there, and waits for those before it.
-    Look(Instant),
-    /// It takes the leadership then.
+    /// At this time, this VM determines its rank among the live VMs and the delay that follows from it.
+    DetermineRank(Instant),
+    /// At this time, this VM takes the leadership.
     Take(Instant),
 }
 
 impl Candidacy {
-    /// When it comes.
+    /// Returns the time of the next step.
     pub(crate) fn at(self) -> Instant {
         match self {
-            Self::Look(at) | Self::Take(at) => at,
+            Self::DetermineRank(at) | Self::Take(at) => at,
         }
     }
 }
 
-/// Whether this VM may take a leadership.
+/// Whether a leadership can be taken, from this VM's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Vacancy {
-    /// Another VM holds it, or this one does.
+    /// Its holder is another VM, or this VM's running scheduler.
     Held,
-    /// Nobody holds it.
+    /// It has no holder.
     Free,
-    /// An earlier start of this VM held it, or this one, which stopped before its lease could end.
-    Mine,
-    /// Another VM may take it, and this one later: it held the leadership a moment ago.
-    Resting,
-    /// It is this VM's, which another one is to have: it has stopped to schedule twice in a short time, or starts anew beside stronger
-    /// ones.
-    Yielded,
-    /// Its holder is silent, and engines refuse that holder's orders from the next one's first on.
-    Silent,
+    /// Its entry names this VM, but no scheduler runs here: the entry is of an earlier start of this VM, or
+    /// this VM stopped scheduling because its lease could have ended.
+    Own,
+    /// Other VMs may take it. This VM may do so only later, because it held the leadership recently or because
+    /// lease votes still bind it.
+    NotYet,
+    /// As for `Own`, but this VM is to resign: it has stopped scheduling twice within a short time, or it has
+    /// restarted and a stronger VM is present.
+    Resign,
+    /// Its holder is silent, and engines refuse the holder's orders from the first order of the next holder on.
+    HolderSilent,
 }
 
-/// How long a leadership stays with a holder that seems silent to this VM: orders of two holders in turn within three seconds
-/// are not wanted, even where fencing numbers keep them harmless.
+/// The least time between two changes of a leadership's holder. Where fencing tokens are checked, a VM doesn't
+/// take the leadership of a silent holder earlier: alternating orders of two holders within three seconds are
+/// unwanted, even where fencing tokens make them harmless.
 pub(crate) const MIN_TENURE: Span = Span::from_millis(3_500);
 
 impl Gateway {
-    /// Whether a leadership became free by time alone, and this VM does not wait for its candidacy yet.
+    /// Whether a leadership became free by the passing of time alone, and this VM has no candidacy for it yet.
     pub(crate) fn lacks_candidacy(&self) -> bool {
         let mut engines = self.index.engines().map(|service| &service.name);
         engines.any(|service| {
-            let free = matches!(self.vacancy(service), Vacancy::Free | Vacancy::Silent);
+            let free = matches!(self.vacancy(service), Vacancy::Free | Vacancy::HolderSilent);
             free && !self.leaderships.candidacies.contains_key(service)
         })
     }
 
-    /// The configuration, a holder or what is known of it changed.
+    /// Starts the candidacies that have become possible by a change of the configuration, of a holder, or of
+    /// what is known of one, and acts on those that are due.
     pub(crate) fn update_candidacies(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.index.engines().map(|s| s.name.clone()).collect();
         for service in services {
             let vacancy = self.vacancy(&service);
-            let waits = self
+            let planned_at = self
                 .leaderships
                 .candidacies
                 .get(&service)
                 .map(|candidacy| candidacy.at());
             let candidacy = match vacancy {
                 Vacancy::Held => continue,
-                // Nobody else may have it, so it waits for nobody's candidacy.
-                Vacancy::Mine | Vacancy::Yielded if waits.is_none_or(|at| at > self.now) => {
+                // No other VM may take the leadership, so this VM has no rank to wait for.
+                Vacancy::Own | Vacancy::Resign if planned_at.is_none_or(|at| at > self.now) => {
                     Candidacy::Take(self.now)
                 }
-                _ if waits.is_some() => continue,
-                _ if self.now < self.leaderships.meets => Candidacy::Look(self.leaderships.meets),
-                _ => self.candidacy(&service),
+                _ if planned_at.is_some() => continue,
+                _ if self.now < self.leaderships.startup_wait_until => {
+                    Candidacy::DetermineRank(self.leaderships.startup_wait_until)
+                }
+                _ => self.ranked_candidacy(&service),
             };
             self.set_candidacy(service, candidacy, out);
         }
-        self.take_leaderships(out);
+        self.advance_candidacies(out);
     }
 
-    /// From when on this VM may take a leadership: where engines don't check fencing numbers not before its vote is over, nor, where
-    /// it has just got a lease, before the votes of others that it does not know of. At once where it never knew another VM; where
-    /// the last entry of one has just gone, as all go when the key-value service loses its leases, they may still act by them.
-    fn rested(&self, service: &Service) -> Instant {
+    /// Returns the earliest time at which this VM may take a leadership. Where engines don't check fencing
+    /// tokens, that is after the lease vote that this VM gave has expired and, if its entry's lease was granted
+    /// recently, after the votes that other VMs may have given without its knowledge have expired. A VM that
+    /// never knew another VM may take the leadership at once. If the last entry of another VM has just
+    /// disappeared, as all do when the key-value service loses its leases, the other VMs may still act on their
+    /// leases, and this VM waits for the duration of a vote.
+    fn earliest_take(&self, service: &Service) -> Instant {
         let fencing = self.settings.tuning.fencing;
-        let vote = VOTE + self.settings.tuning.lease_guard;
+        let vote = VOTE_DURATION + self.settings.tuning.lease_guard;
         if self.peers().next().is_none() {
-            let left = self.membership.left().filter(|_| !fencing);
-            return left.map_or(Instant::default(), |left| left + vote);
+            let gone_at = self.membership.last_unlisted().filter(|_| !fencing);
+            return gone_at.map_or(Instant::default(), |gone_at| gone_at + vote);
         }
-        let rested = self.leaderships.rested(service);
+        let earliest_take = self.leaderships.earliest_retake(service);
         if fencing {
-            return rested;
+            return earliest_take;
         }
-        let others = self.registration.granted().unwrap_or_default() + vote;
-        rested.max(self.votes.given(service)).max(others)
+        let others = self.registration.granted_at().unwrap_or_default() + vote;
+        earliest_take
+            .max(self.votes.given_until(service))
+            .max(others)
     }
 
     pub(crate) fn set_candidacy(
@@ -126,32 +139,32 @@
         candidacy: Candidacy,
         out: &mut Effects,
     ) {
-        let act = match candidacy {
-            Candidacy::Look(_) => "look",
+        let step = match candidacy {
+            Candidacy::DetermineRank(_) => "look",
             Candidacy::Take(_) => "take",
         };
         let (after, vms) = (candidacy.at().since(self.now), self.peers().count());
-        let lease = self
+        let entry_age = self
             .now
-            .since(self.registration.granted().unwrap_or_default());
+            .since(self.registration.granted_at().unwrap_or_default());
         let detail =
-            format!("service={service} act={act} after={after} vms={vms} entry_age={lease}");
+            format!("service={service} act={step} after={after} vms={vms} entry_age={entry_age}");
         Self::log(out, Code::SeatAwaited, detail);
         self.timers.set(candidacy.at(), Timer::Leadership);
         self.leaderships.candidacies.insert(service, candidacy);
     }
 
-    /// Whether this VM may take a leadership.
+    /// Returns whether this VM may take a leadership.
     fn vacancy(&self, service: &Service) -> Vacancy {
         let vacancy = self.vacancy_for_any(service);
-        let resting = self.now < self.rested(service);
+        let must_wait = self.now < self.earliest_take(service);
         match vacancy {
-            Vacancy::Free | Vacancy::Silent if resting => Vacancy::Resting,
+            Vacancy::Free | Vacancy::HolderSilent if must_wait => Vacancy::NotYet,
             vacancy => vacancy,
         }
     }
 
-    /// Whether a leadership can be taken by any VM, as far as this one knows.
+    /// Returns whether a VM may take a leadership, disregarding the waiting time that applies to this VM alone.
     fn vacancy_for_any(&self, service: &Service) -> Vacancy {
         let change = self.snapshot.get(&EntryKey::Holder(service.clone()));
         let Some(EntryValue::Holder(holder)) = change.and_then(|change| change.value.as_ref())
@@ -163,66 +176,69 @@
             .scheduler_clients
             .get(service)
             .is_some_and(|client| client.silent);
-        let settled = self.now.since(self.leaderships.changed(service)) >= MIN_TENURE;
+        let has_min_tenure = self.now.since(self.leaderships.changed(service)) >= MIN_TENURE;
         match holder.vm == self.settings.vm {
             true if holder.incarnation != self.settings.incarnation => {
-                if self.is_stronger_there() {
-                    Vacancy::Yielded
+                if self.has_stronger_peer() {
+                    Vacancy::Resign
                 } else {
-                    Vacancy::Mine
+                    Vacancy::Own
                 }
             }
-            true if self.idle_leadership(service) && self.should_yield(service) => Vacancy::Yielded,
-            true if self.idle_leadership(service) => Vacancy::Mine,
-            false if fencing && silent && settled => Vacancy::Silent,
+            true if self.is_idle_holder(service) && self.should_yield(service) => Vacancy::Resign,
+            true if self.is_idle_holder(service) => Vacancy::Own,
+            false if fencing && silent && has_min_tenure => Vacancy::HolderSilent,
             _ => Vacancy::Held,
         }
     }
 
-    /// Whether a leadership is this VM's, though it has stopped to schedule: its lease could have ended, and did not. Nobody else may
-    /// take the leadership as long as the lease goes on, so this VM writes it anew, under a new number.
-    fn idle_leadership(&self, service: &Service) -> bool {
-        let sure = self.leaderships.leased() && self.now < self.lease_sure();
-        sure && !self.stopping && !self.schedulers.contains_key(service)
+    /// Whether the entry of a leadership names this VM although its scheduler has stopped: the lease could have
+    /// ended, but did not. No other VM may take the leadership while the lease lives, so this VM writes the
+    /// entry again, with a new fencing token.
+    fn is_idle_holder(&self, service: &Service) -> bool {
+        let has_safe_lease = self.leaderships.has_lease() && self.now < self.lease_safe_until();
+        has_safe_lease && !self.stopping && !self.schedulers.contains_key(service)
     }
 
-    /// Whether this VM is to leave a leadership to another one.
+    /// Whether this VM is to resign a leadership to another VM.
     fn should_yield(&self, service: &Service) -> bool {
         self.peers().next().is_some() && self.leaderships.should_yield(service, self.now)
     }
 
-    /// Whether a stronger VM has an entry.
-    fn is_stronger_there(&self) -> bool {
+    /// Whether a stronger VM is among the peers.
+    fn has_stronger_peer(&self) -> bool {
         let mine = self.strength(&self.settings.vm);
         self.peers().any(|vm| self.strength(vm) > mine)
     }
 
-    /// Leaves leaderships that are too much for this VM, where one that is much stronger is heard: it took them while that one was away, and
-    /// would fall further behind with each request.
-    pub(crate) fn leave_to_stronger(&mut self, out: &mut Effects) {
-        let strained = self.schedulers.iter();
-        let strained = strained.filter(|(_, scheduler)| {
-            scheduler.is_overloaded() && self.now.since(scheduler.started_at()) >= TRIED
+    /// Resigns leaderships whose schedulers overload this VM if a much stronger VM is heard. This VM took them
+    /// while the stronger one was away, and would fall further behind with each request.
+    pub(crate) fn resign_to_stronger(&mut self, out: &mut Effects) {
+        let overloaded = self.schedulers.iter();
+        let overloaded = overloaded.filter(|(_, scheduler)| {
+            scheduler.is_overloaded() && self.now.since(scheduler.started_at()) >= MIN_TRIAL
         });
-        let strained: Vec<Service> = strained.map(|(service, _)| service.clone()).collect();
-        if strained.is_empty() || !self.is_much_stronger_heard() {
+        let overloaded: Vec<Service> = overloaded.map(|(service, _)| service.clone()).collect();
+        if overloaded.is_empty() || !self.hears_much_stronger_peer() {
             return;
         }
-        for service in strained {
+        for service in overloaded {
             self.stop_scheduler(&service, out);
             self.resign(&service, out);
         }
     }
 
-    fn is_much_stronger_heard(&self) -> bool {
-        let enough = self.strength(&self.settings.vm).saturating_mul(MUCH);
-        let since = self.now.back(HEARD);
+    fn hears_much_stronger_peer(&self) -> bool {
+        let enough = self
+            .strength(&self.settings.vm)
+            .saturating_mul(MUCH_STRONGER_FACTOR);
+        let since = self.now.back(HEARD_WITHIN);
         let mut peers = self.peers();
         peers.any(|vm| self.strength(vm) >= enough && self.membership.is_heard(vm, since))
     }
 
-    /// Tries to take the leaderships whose candidacy has come.
-    pub(crate) fn take_leaderships(&mut self, out: &mut Effects) {
+    /// Performs the due step of each candidacy.
+    pub(crate) fn advance_candidacies(&mut self, out: &mut Effects) {
         let candidacies = self.leaderships.candidacies.iter();
         let due = candidacies.filter(|(_, candidacy)| candidacy.at() <= self.now);
         let due: Vec<Service> = due.map(|(service, _)| service.clone()).collect();
@@ -230,12 +246,15 @@
             let candidacy = self.leaderships.candidacies.remove(&service);
             let next = match (self.vacancy(&service), candidacy) {
                 (Vacancy::Held, _) => continue,
-                // Then it is still the candidacy of those before it.
-                (Vacancy::Resting, _) => Candidacy::Look(self.rested(&service)),
-                (Vacancy::Free, Some(Candidacy::Look(_))) => self.candidacy(&service),
-                (Vacancy::Yielded, _) => {
+                // At that time the VMs that rank before this one still go first, so this VM determines its rank
+                // then.
+                (Vacancy::NotYet, _) => Candidacy::DetermineRank(self.earliest_take(&service)),
+                (Vacancy::Free, Some(Candidacy::DetermineRank(_))) => {
+                    self.ranked_candidacy(&service)
+                }
+                (Vacancy::Resign, _) => {
                     self.resign(&service, out);
-                    Candidacy::Look(self.now + self.settings.tuning.renew)
+                    Candidacy::DetermineRank(self.now + self.settings.tuning.renew)
                 }
                 _ => {
                     self.take_leadership(service.clone(), out);
@@ -246,31 +265,33 @@
         }
     }
 
-    /// This VM's candidacy for a leadership that is free from now on: after the live VMs that stand before it in the order of
-    /// candidates, the strongest first. Counted from when this VM may take it, as the others count theirs: a weak VM whose candidacy
-    /// was counted from before that took the leadership in the moment in which the strongest were allowed to look at it.
-    fn candidacy(&self, service: &Service) -> Candidacy {
-        let mine = self.rank(service, &self.settings.vm);
+    /// Returns this VM's candidacy for a leadership that is free from this moment on: delayed by one
+    /// [`CANDIDATE_GAP`] for each live VM that ranks before it, strongest first. The delay counts from the time
+    /// at which this VM may take the leadership, as it does on the other VMs: counted from an earlier time, a
+    /// weak VM took the leadership at the moment at which the strongest ones were allowed to start.
+    fn ranked_candidacy(&self, service: &Service) -> Candidacy {
+        let mine = self.candidate_rank(service, &self.settings.vm);
         let silent = self.silent_holder(service);
         let others = self.peers().filter(|vm| Some(*vm) != silent);
-        let before = others.filter(|vm| self.rank(service, vm) < mine);
+        let before = others.filter(|vm| self.candidate_rank(service, vm) < mine);
         let before = before.count() as u64;
-        let mut from = self.now.max(self.rested(service));
+        let mut from = self.now.max(self.earliest_take(service));
         if silent.is_some() && before > 0 {
-            // Some see its link break, the others only that its word does not come, and the candidacies of those before this VM begin then.
+            // Some VMs notice a broken link, others only missing heartbeats. The candidacies of the VMs that
+            // rank before this one may begin only when the heartbeats are overdue.
             from = from.max(self.holder_last_heard(service) + HOLDER_TIMEOUT);
         }
         Candidacy::Take(from + CANDIDATE_GAP.times(before))
     }
 
-    /// The holder whose key is still there, but whose word does not come.
+    /// Returns the holder whose entry still exists but which is silent.
     fn silent_holder(&self, service: &Service) -> Option<&Vm> {
-        let silent = self.vacancy_for_any(service) == Vacancy::Silent;
+        let silent = self.vacancy_for_any(service) == Vacancy::HolderSilent;
         let client = self.scheduler_clients.get(service).filter(|_| silent)?;
         client.holder.as_ref()
     }
 
-    fn rank(&self, service: &Service, vm: &Vm) -> (Reverse<u32>, u64) {
+    fn candidate_rank(&self, service: &Service, vm: &Vm) -> (Reverse<u32>, u64) {
         let score = membership::rendezvous_score(&(service.as_str(), vm.as_str()));
         (Reverse(self.strength(vm)), score)
     }
--- a/crates/gateway/src/cluster/exclusion.rs
+++ b/crates/gateway/src/cluster/exclusion.rs
@@ -1,26 +1,26 @@
-//! VMs that did not do what was asked of them, and are not asked again for a while.
+//! VMs that failed to do what was asked of them and are not asked again for a while.
 
 use dahliastile_core::id::Vm;
 use dahliastile_core::time::Instant;
 
-/// The VMs, each with until when it is passed by.
+/// The excluded VMs, each with the time at which its exclusion ends.
 #[derive(Debug, Default)]
 pub(crate) struct Exclusions(Vec<(Vm, Instant)>);
 
 impl Exclusions {
-    /// Passes a VM by until a time.
+    /// Excludes a VM until a time.
     pub(crate) fn add(&mut self, vm: Vm, now: Instant, until: Instant) {
         self.0.retain(|(_, until)| *until > now);
         self.0.push((vm, until));
     }
 
-    /// Whether a VM is passed by.
+    /// Whether a VM is excluded.
     pub(crate) fn contains(&self, vm: &Vm, now: Instant) -> bool {
-        let mut rows = self.0.iter();
-        rows.any(|(other, until)| other == vm && now < *until)
+        let mut exclusions = self.0.iter();
+        exclusions.any(|(other, until)| other == vm && now < *until)
     }
 
-    /// Whether no VM is.
+    /// Whether no VM is excluded.
     pub(crate) fn is_empty(&self, now: Instant) -> bool {
         self.0.iter().all(|(_, until)| now >= *until)
     }
--- a/crates/gateway/src/cluster/lease.rs
+++ b/crates/gateway/src/cluster/lease.rs
@@ -1,5 +1,5 @@
-//! A lease of the key-value service that this VM keeps: granted when it is wanted, renewed in time, and tried again at growing
-//! pauses while the service does not answer.
+//! A lease of the key-value service: granted on demand, renewed in time, and requested again with growing
+//! pauses while the service doesn't answer.
 
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
@@ -7,30 +7,30 @@
 use crate::effect::KvOperation;
 use crate::event::Lease;
 
-/// How one kind of lease is kept.
+/// The durations of one kind of lease.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Terms {
-    /// How long it lives without a renewal.
+    /// How long the lease lives without a renewal.
     pub(crate) ttl: Span,
-    /// The time from one renewal to the next.
-    pub(crate) renew: Span,
-    /// The pause after the first call that failed.
-    pub(crate) retry: Span,
-    /// The longest pause after calls that failed: it is doubled until then.
-    pub(crate) longest: Span,
+    /// The time between renewals.
+    pub(crate) renew_interval: Span,
+    /// The pause after the first failed call.
+    pub(crate) first_retry: Span,
+    /// The longest pause after failed calls: the pause doubles with each failure up to this length.
+    pub(crate) max_retry: Span,
 }
 
-/// What is to be called.
+/// The next call for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Due {
-    /// A lease is to be granted.
+pub(crate) enum DueCall {
+    /// Have a lease granted.
     Grant,
-    /// It is to be renewed.
+    /// Renew the lease.
     Renew(Lease),
 }
 
-impl Due {
-    /// The call, for a lease that lives so long.
+impl DueCall {
+    /// Returns the operation of the key-value service; a lease that it grants lives for `ttl`.
     pub(crate) fn op(self, ttl: Span) -> KvOperation {
         match self {
             Self::Grant => KvOperation::GrantLease(ttl),
@@ -39,122 +39,125 @@
     }
 }
 
-/// A lease, or the wish for one.
+/// A lease that this VM has or wants.
 #[derive(Debug, Default)]
-pub(crate) struct Kept {
-    /// Its number.
+pub(crate) struct LeaseKeeper {
+    /// The lease's ID; none if this VM has no lease.
     id: Option<Lease>,
-    /// When it was granted.
-    granted: Instant,
-    /// When it was last granted or renewed, counted from when the call was sent.
-    renewed: Instant,
-    /// When the next call on it is due.
-    next: Instant,
-    /// Calls in a row that failed, and leases that ended since one was renewed.
+    /// When the lease was granted.
+    granted_at: Instant,
+    /// When the call was sent that last granted or renewed the lease.
+    renewed_at: Instant,
+    /// When the next call for the lease is due.
+    next_call: Instant,
+    /// The number of failed calls and ended leases since the last renewal.
     failures: u32,
-    /// Whether the last call on it failed.
-    failing: bool,
-    /// Whether a call on it is in progress.
-    calling: bool,
+    /// Whether the last call failed.
+    is_failing: bool,
+    /// Whether a call is in progress.
+    is_calling: bool,
 }
 
-impl Kept {
-    /// Its number, as long as it is not known to have ended.
+impl LeaseKeeper {
+    /// Returns the lease's ID, unless the lease is known to have ended.
     pub(crate) fn id(&self) -> Option<Lease> {
         self.id
     }
 
-    /// When it was granted.
-    pub(crate) fn granted(&self) -> Instant {
-        self.granted
+    /// Returns when the lease was granted.
+    pub(crate) fn granted_at(&self) -> Instant {
+        self.granted_at
     }
 
-    /// When it was last renewed.
-    pub(crate) fn renewed(&self) -> Instant {
-        self.renewed
+    /// Returns when the call was sent that last granted or renewed the lease.
+    pub(crate) fn renewed_at(&self) -> Instant {
+        self.renewed_at
     }
 
-    /// When the next call on it is due; none while one is in progress.
-    pub(crate) fn next(&self) -> Option<Instant> {
-        Some(self.next).filter(|_| !self.calling)
+    /// Returns when the next call is due; none while one is in progress.
+    pub(crate) fn next_call(&self) -> Option<Instant> {
+        Some(self.next_call).filter(|_| !self.is_calling)
     }
 
-    /// Whether the last call on it failed.
-    pub(crate) fn failing(&self) -> bool {
-        self.failing
+    /// Whether the last call failed.
+    pub(crate) fn is_failing(&self) -> bool {
+        self.is_failing
     }
 
-    /// The call that is due now.
-    pub(crate) fn due(&self, now: Instant) -> Option<Due> {
+    /// Returns the call that is due at `now`.
+    pub(crate) fn due_call(&self, now: Instant) -> Option<DueCall> {
         match self.id {
-            _ if self.calling || now < self.next => None,
-            None => Some(Due::Grant),
-            Some(id) => Some(Due::Renew(id)),
+            _ if self.is_calling || now < self.next_call => None,
+            None => Some(DueCall::Grant),
+            Some(id) => Some(DueCall::Renew(id)),
         }
     }
 
-    /// A call on it is sent.
-    pub(crate) fn called(&mut self) {
-        self.calling = true;
+    /// Records that a call was sent.
+    pub(crate) fn record_call(&mut self) {
+        self.is_calling = true;
     }
 
-    /// It was granted, by a call sent at a time.
-    pub(crate) fn was_granted(&mut self, now: Instant, sent: Instant, id: Lease, terms: Terms) {
+    /// Records that a call sent at `sent` had the lease granted.
+    pub(crate) fn record_grant(&mut self, now: Instant, sent: Instant, id: Lease, terms: Terms) {
         self.id = Some(id);
-        self.granted = now;
-        self.answered(sent, terms);
+        self.granted_at = now;
+        self.record_success(sent, terms);
     }
 
-    /// It was renewed, by a call sent at a time.
-    pub(crate) fn was_renewed(&mut self, sent: Instant, terms: Terms) {
+    /// Records that a call sent at `sent` renewed the lease.
+    pub(crate) fn record_renewal(&mut self, sent: Instant, terms: Terms) {
         self.failures = 0;
-        self.answered(sent, terms);
+        self.record_success(sent, terms);
     }
 
-    fn answered(&mut self, sent: Instant, terms: Terms) {
-        self.renewed = sent;
-        self.failing = false;
-        self.calling = false;
-        self.next = sent + terms.renew;
+    fn record_success(&mut self, sent: Instant, terms: Terms) {
+        self.renewed_at = sent;
+        self.is_failing = false;
+        self.is_calling = false;
+        self.next_call = sent + terms.renew_interval;
     }
 
-    /// The service says that it has ended. Another one is wanted at once, but of a service that takes each away as soon as it has
-    /// granted it, at growing pauses.
-    pub(crate) fn ended(&mut self, now: Instant, terms: Terms, rng: &mut impl Rng) {
+    /// Records that the key-value service reported the end of the lease. A new lease is requested at once,
+    /// unless the service ended the lease soon after granting it: then the pauses grow, as they do after
+    /// failures.
+    pub(crate) fn record_end(&mut self, now: Instant, terms: Terms, rng: &mut impl Rng) {
         self.id = None;
-        let lived = now.since(self.granted) >= terms.retry;
-        self.failed(now, terms, rng);
-        self.failing = false;
-        if lived {
-            self.next = now;
+        let has_lived = now.since(self.granted_at) >= terms.first_retry;
+        self.record_failure(now, terms, rng);
+        self.is_failing = false;
+        if has_lived {
+            self.next_call = now;
         }
     }
 
-    /// A call on it failed.
-    pub(crate) fn failed(&mut self, now: Instant, terms: Terms, rng: &mut impl Rng) {
-        self.calling = false;
-        self.failing = true;
-        self.next = now + backoff(terms.retry, terms.longest, self.failures, rng);
+    /// Records that a call failed.
+    pub(crate) fn record_failure(&mut self, now: Instant, terms: Terms, rng: &mut impl Rng) {
+        self.is_calling = false;
+        self.is_failing = true;
+        self.next_call = now + backoff(terms.first_retry, terms.max_retry, self.failures, rng);
         self.failures += 1;
     }
 
-    /// The service is there again, or has taken away what was under the lease: the next call comes within a while.
+    /// Moves the next call to a random time within `within` from `now`, if it is due later. Used when the
+    /// key-value service is back, or has deleted entries under the lease.
     pub(crate) fn expedite(&mut self, now: Instant, within: Span, rng: &mut impl Rng) {
         let soon = now + Span(rng.random_range(0..=within.0));
-        self.next = self.next.min(soon);
+        self.next_call = self.next_call.min(soon);
     }
 
-    /// It is no longer wanted, and ends by itself.
-    pub(crate) fn drop_it(&mut self) {
+    /// Gives up the lease, which then ends by itself.
+    pub(crate) fn give_up(&mut self) {
         self.id = None;
-        self.next = Instant::default();
+        self.next_call = Instant::default();
         self.failures = 0;
-        self.failing = false;
+        self.is_failing = false;
     }
 }
 
-/// The pause after a call of the key-value service that failed, as did so many before it in a row: it is doubled with each, up to the
-/// longest, and drawn from half of its length on, so that VMs that failed together don't call together.
+/// Returns the pause after a failed call of the key-value service. `first` doubles with each of the `failures`
+/// before it, up to `longest`; the pause is drawn from between half of that and all of it, so that VMs whose
+/// calls failed together don't retry together.
 pub(crate) fn backoff(first: Span, longest: Span, failures: u32, rng: &mut impl Rng) -> Span {
     let doubled = first.times(1 << failures.min(10));
     let pause = doubled.min(longest.max(first));
--- a/crates/gateway/src/cluster/lease_vote.rs
+++ b/crates/gateway/src/cluster/lease_vote.rs
@@ -1,10 +1,12 @@
-//! A scheduler that goes on without the key-value service, where engines don't check fencing numbers.
+//! Lease votes: how a scheduler goes on without the key-value service where engines don't check fencing tokens.
 //!
-//! There a holder must stop before its lease can end, as another VM may take its leadership from then on. While the key-value
-//! service answers nobody, nobody can take it, and the holder asks all other VMs to say so: a VM that has had no answer
-//! itself for a while gives its lease vote, not to take the leadership for [`VOTE`] from when it hears the question. The holder goes on as
-//! long as it has a vote of each VM that it knows, counted from when it asked. One VM that reaches the service, or is not
-//! heard, is enough to have the holder stop; a VM that has just got a lease waits a vote's length before it takes a leadership.
+//! Without fencing tokens, the holder of a leadership must stop before its lease can end, as another VM may
+//! take the leadership from then on. While the key-value service answers no VM, no VM can take the leadership,
+//! and the holder asks all other VMs to confirm this. A VM that has had no answer from the service for a while
+//! gives its lease vote: it promises not to take the leadership for [`VOTE_DURATION`] from when it received the
+//! request. The holder goes on as long as it has a valid vote of each VM that it knows, counted from when it
+//! sent the request. One VM that reaches the service, or doesn't answer, is enough for the holder to stop. A VM
+//! whose lease was just granted waits for the duration of a vote before it takes a leadership.
 
 use std::collections::BTreeMap;
 
@@ -18,125 +20,141 @@
 use crate::node::Gateway;
 use crate::timer::Timer;
 
-/// How long a lease vote holds. The holder asks four times within it, and an order may be on its way for 300 ms of it.
-pub(crate) const VOTE: Span = Span::from_millis(1_000);
+/// How long a lease vote is valid. The holder sends four requests within this time, and 300 ms of it are kept
+/// for orders in transit.
+pub(crate) const VOTE_DURATION: Span = Span::from_millis(1_000);
 
-/// The time between two questions.
-const ASK_EVERY: Span = Span::from_millis(200);
+/// The time between two requests for votes.
+const REQUEST_INTERVAL: Span = Span::from_millis(200);
 
-/// How much later than its turn a renewal may be answered before the key-value service counts as away here: fifty times its
-/// usual time.
-const OVERDUE: Span = Span::from_millis(200);
+/// How long after its due time a renewal may be unanswered before the key-value service counts as away: fifty
+/// times its usual response time.
+const RENEWAL_OVERDUE: Span = Span::from_millis(200);
 
-/// How long a write without an answer may still be carried out.
-const LATE_WRITE: Span = Span::from_secs(15);
+/// How long after a write without an answer the key-value service may still perform it.
+const LATE_WRITE_WINDOW: Span = Span::from_secs(15);
 
-/// Lease votes given and had.
+/// Lease votes given and received.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// Until when this VM takes no leadership of a service.
-    given: BTreeMap<Service, Instant>,
-    /// The votes that this VM had, each with when it asked for it.
-    had: BTreeMap<(Service, Vm), Instant>,
-    /// When it asks next.
-    next: Instant,
-    /// Until when a write of a leadership may be carried out that had no answer.
-    unsure: Instant,
-    /// Whether this VM schedules by votes alone.
-    pub(crate) holds: bool,
+    /// For each service, the time until which this VM's vote forbids it to take the leadership.
+    given_until: BTreeMap<Service, Instant>,
+    /// The votes that this VM received, each with the time at which it sent the request.
+    received: BTreeMap<(Service, Vm), Instant>,
+    /// When this VM sends the next requests.
+    next_request: Instant,
+    /// Until when the key-value service may still perform a write of a leadership that had no answer.
+    write_unsettled_until: Instant,
+    /// Whether this VM schedules by votes alone, after its lease may have ended.
+    pub(crate) schedules_by_votes: bool,
 }
 
 impl State {
-    /// Until when this VM has said that it takes no leadership of a service.
-    pub(crate) fn given(&self, service: &Service) -> Instant {
-        self.given.get(service).copied().unwrap_or_default()
+    /// Returns until when this VM's vote forbids it to take a leadership.
+    pub(crate) fn given_until(&self, service: &Service) -> Instant {
+        self.given_until.get(service).copied().unwrap_or_default()
     }
 
-    /// Until when a write of a leadership may be carried out that had no answer.
-    pub(crate) fn unsure(&self) -> Instant {
-        self.unsure
+    /// Returns until when the key-value service may still perform a write of a leadership that had no answer.
+    pub(crate) fn write_unsettled_until(&self) -> Instant {
+        self.write_unsettled_until
     }
 
-    /// A write of a leadership came back.
-    pub(crate) fn leadership_written(&mut self, now: Instant, outcome: &KvOutcome) {
+    /// Records the result of a write of a leadership.
+    pub(crate) fn record_leadership_write(&mut self, now: Instant, outcome: &KvOutcome) {
         if matches!(outcome, KvOutcome::Unknown) {
-            self.unsure = now + LATE_WRITE;
+            self.write_unsettled_until = now + LATE_WRITE_WINDOW;
         }
     }
 }
 
 impl Gateway {
-    /// When the renewals of this VM's leaderships have had no answer for a while.
-    fn overdue_at(&self) -> Instant {
-        self.leaderships.renewed() + self.settings.tuning.renew + OVERDUE
+    /// Returns when the renewal of this VM's lease counts as overdue.
+    fn renewal_overdue_at(&self) -> Instant {
+        self.leaderships.renewed_at() + self.settings.tuning.renew + RENEWAL_OVERDUE
     }
 
-    /// Asks all other VMs for their votes, where this one schedules and its renewals have no answer.
+    /// Requests votes from all other VMs if this VM schedules and its lease's renewal is overdue.
     pub(crate) fn request_votes(&mut self, out: &mut Effects) {
-        let used = self.settings.uses(Feature::LeaseVotes);
-        if !used || self.settings.tuning.fencing || self.schedulers.is_empty() {
+        let is_used = self.settings.uses(Feature::LeaseVotes);
+        if !is_used || self.settings.tuning.fencing || self.schedulers.is_empty() {
             return;
         }
-        let due = self.votes.next.max(self.overdue_at());
+        let due = self.votes.next_request.max(self.renewal_overdue_at());
         if self.now < due {
             self.timers.set_once(due, Timer::Leadership);
             return;
         }
-        self.votes.next = self.now + ASK_EVERY;
-        self.timers.set_once(self.votes.next, Timer::Leadership);
+        self.votes.next_request = self.now + REQUEST_INTERVAL;
+        self.timers
+            .set_once(self.votes.next_request, Timer::Leadership);
         for (service, scheduler) in &self.schedulers {
-            let question = Message::RequestLeaseVote(service.clone(), scheduler.fence(), self.now);
-            self.broadcast(&question, out);
+            let request = Message::RequestLeaseVote(service.clone(), scheduler.fence(), self.now);
+            self.broadcast(&request, out);
         }
     }
 
-    /// The holder of a leadership asks for a vote. It came from the one that this VM takes for the holder.
+    /// Handles a request for a lease vote. The caller has checked that `from` is the holder that this VM knows.
     pub(crate) fn handle_vote_request(
         &mut self,
         service: &Service,
         fence: u64,
-        asked: Instant,
+        requested_at: Instant,
         from: &Vm,
         out: &mut Effects,
     ) {
-        if !self.registration.unanswered(self.now) {
-            // The holder has no answer. This VM learns whether it has any, and says so when it is asked again.
+        if !self.registration.is_unanswered(self.now) {
+            // The holder has no answer from the key-value service. This VM calls the service to learn whether
+            // it answers, and can vote when it is asked again.
             self.probe_by_registration(out);
             return;
         }
-        if self.now < self.votes.unsure
-            || self.leaderships.writes(service)
+        if self.now < self.votes.write_unsettled_until
+            || self.leaderships.is_writing(service)
             || self.schedulers.contains_key(service)
         {
             return;
         }
-        let until = self.now + VOTE;
-        self.votes.given.insert(service.clone(), until);
-        self.send(from, Message::LeaseVote(service.clone(), fence, asked), out);
+        let until = self.now + VOTE_DURATION;
+        self.votes.given_until.insert(service.clone(), until);
+        self.send(
+            from,
+            Message::LeaseVote(service.clone(), fence, requested_at),
+            out,
+        );
     }
 
-    /// A VM has given the vote that this one asked for at a time.
-    pub(crate) fn handle_vote(&mut self, service: &Service, fence: u64, asked: Instant, from: &Vm) {
-        let holds = self
+    /// Handles the vote of a VM on this VM's request sent at `requested_at`.
+    pub(crate) fn handle_vote(
+        &mut self,
+        service: &Service,
+        fence: u64,
+        requested_at: Instant,
+        from: &Vm,
+    ) {
+        let own_fence = self
             .schedulers
             .get(service)
             .map(crate::scheduler::Scheduler::fence);
-        if holds != Some(fence) {
+        if own_fence != Some(fence) {
             return;
         }
-        let had = self.votes.had.entry((service.clone(), from.clone()));
-        let had = had.or_default();
-        *had = (*had).max(asked);
+        let latest = self.votes.received.entry((service.clone(), from.clone()));
+        let latest = latest.or_default();
+        *latest = (*latest).max(requested_at);
     }
 
-    /// Until when all other VMs take no leadership of a service, with the time that an order may be on its way.
-    pub(crate) fn voted_until(&self, service: &Service) -> Instant {
-        let had = |vm: &Vm| self.votes.had.get(&(service.clone(), vm.clone()));
-        let asked = self.peers().map(|vm| had(vm).copied().unwrap_or_default());
-        let first = asked.min().unwrap_or_default();
-        if first == Instant::default() {
-            return first;
+    /// Returns until when the votes of all other VMs keep them from taking a leadership, less the time that an
+    /// order may be in transit.
+    pub(crate) fn votes_valid_until(&self, service: &Service) -> Instant {
+        let received = |vm: &Vm| self.votes.received.get(&(service.clone(), vm.clone()));
+        let requested_at = self
+            .peers()
+            .map(|vm| received(vm).copied().unwrap_or_default());
+        let earliest = requested_at.min().unwrap_or_default();
+        if earliest == Instant::default() {
+            return earliest;
         }
-        first + (VOTE - self.settings.tuning.lease_guard)
+        earliest + (VOTE_DURATION - self.settings.tuning.lease_guard)
     }
 }
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -1,8 +1,8 @@
-//! The other entry VMs: where they are, and whether they are there.
+//! The other entry VMs: their addresses, and whether they are alive.
 //!
-//! A VM's entry in the key-value service may be taken away while the VM lives, where the service turns it away, and stays for
-//! seconds where the VM has ended. So an address is kept, and a VM counts as gone when its link is down and either its entry is
-//! gone or no link to it can be made for a while.
+//! The entry of a live VM may disappear from the key-value service, if the service refuses its calls, and the
+//! entry of a VM that has ended remains for seconds. So addresses are kept, and a VM counts as gone when its
+//! link is down and either its entry is gone or no connection to it could be made for a while.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -15,158 +15,162 @@
 use crate::cluster::snapshot::Member;
 use crate::event::LinkFault;
 
-/// How long a VM without an entry is still spoken to after it was last heard.
-const KEPT: Span = Span::from_secs(10);
+/// How long after it was last heard a VM without an entry still counts as alive.
+const KEEP_UNLISTED: Span = Span::from_secs(10);
 
-/// How long no link to a VM can be made before it counts as gone: two tries and some. Only what it asked of this VM ends with
-/// that, and it says all of it anew when it is heard again.
+/// How long connections to a VM must fail before it counts as gone: two attempts and some margin. If it was
+/// alive after all, only its requests to this VM are lost, and it repeats all of them when it is heard again.
 const UNREACHABLE: Span = Span::from_millis(600);
 
-/// How long a VM that is gone is still counted among those that were there lately: it may only be cut off, and go on with what it
-/// has for as long.
-const LATELY: Span = Span::from_secs(60);
+/// How long a VM that is gone counts as recent: it may merely be cut off, and keep using its share of the account
+/// limits for as long.
+const RECENT: Span = Span::from_secs(60);
 
-/// One VM.
+/// What is known of one VM.
 #[derive(Clone, Debug)]
-struct Row {
-    /// Where it is.
+struct Peer {
+    /// The VM's address.
     address: SocketAddr,
     /// Its availability zone.
     zone: Zone,
-    /// How much it can do for others.
+    /// Its capacity to do work for other VMs; higher is stronger.
     strength: u32,
     /// Whether it has an entry in the key-value service.
-    listed: bool,
-    /// When its entry last went.
-    unlisted: Instant,
+    is_listed: bool,
+    /// When its entry last disappeared.
+    unlisted_at: Instant,
     /// When it was last heard.
-    heard: Instant,
-    /// When its link first failed since then.
-    down: Option<Instant>,
+    heard_at: Instant,
+    /// When its link first failed after it was last heard.
+    down_since: Option<Instant>,
 }
 
 /// The other VMs.
 #[derive(Debug, Default)]
 pub(crate) struct Membership {
-    /// By name.
-    rows: BTreeMap<Vm, Row>,
-    /// When an entry last went; none where none ever did.
-    left: Option<Instant>,
+    /// What is known of each VM, by name.
+    peers: BTreeMap<Vm, Peer>,
+    /// When the entry of a VM last disappeared; none if none has.
+    last_unlisted: Option<Instant>,
 }
 
 impl Membership {
-    /// A VM has an entry.
-    pub(crate) fn listed(&mut self, vm: &Vm, member: &Member) {
-        let row = self.row(vm, member);
-        row.listed = true;
-        row.down = None;
+    /// Records that a VM has an entry.
+    pub(crate) fn record_listed(&mut self, vm: &Vm, member: &Member) {
+        let peer = self.peer_mut(vm, member);
+        peer.is_listed = true;
+        peer.down_since = None;
     }
 
-    /// When an entry of another VM last went; none where none ever did.
-    pub(crate) fn left(&self) -> Option<Instant> {
-        self.left
+    /// Returns when the entry of another VM last disappeared; none if none has.
+    pub(crate) fn last_unlisted(&self) -> Option<Instant> {
+        self.last_unlisted
     }
 
-    /// A VM's entry is gone. Says whether the VM counts as gone.
-    pub(crate) fn unlisted(&mut self, vm: &Vm, now: Instant) -> bool {
-        self.left = Some(now);
-        self.rows.get_mut(vm).is_none_or(|row| {
-            row.listed = false;
-            row.unlisted = now;
-            row.down.is_some()
+    /// Records that a VM's entry is gone. Returns whether the VM counts as gone.
+    pub(crate) fn record_unlisted(&mut self, vm: &Vm, now: Instant) -> bool {
+        self.last_unlisted = Some(now);
+        self.peers.get_mut(vm).is_none_or(|peer| {
+            peer.is_listed = false;
+            peer.unlisted_at = now;
+            peer.down_since.is_some()
         })
     }
 
-    /// A VM says where it is.
+    /// Records the address that a VM reported in a message.
     pub(crate) fn record_member(&mut self, vm: &Vm, member: &Member) {
-        self.row(vm, member);
+        self.peer_mut(vm, member);
     }
 
-    /// A VM was heard.
+    /// Records that a message of a VM arrived.
     pub(crate) fn record_heard(&mut self, vm: &Vm, now: Instant) {
-        if let Some(row) = self.rows.get_mut(vm) {
-            row.heard = now;
-            row.down = None;
+        if let Some(peer) = self.peers.get_mut(vm) {
+            peer.heard_at = now;
+            peer.down_since = None;
         }
     }
 
-    /// The link to an address failed. The VM there, and whether it counts as gone.
+    /// Records that the link to an address failed. Returns the VM of that address, and whether the VM counts as
+    /// gone.
     pub(crate) fn record_link_failure(
         &mut self,
         address: SocketAddr,
         fault: LinkFault,
         now: Instant,
     ) -> Option<(Vm, bool)> {
-        let mut rows = self.rows.iter_mut();
-        let (vm, row) = rows.find(|(_, row)| row.address == address)?;
-        let since = *row.down.get_or_insert(now);
-        let refused = fault == LinkFault::Unreachable && now.since(since) >= UNREACHABLE;
-        Some((vm.clone(), !row.listed || refused))
+        let mut peers = self.peers.iter_mut();
+        let (vm, peer) = peers.find(|(_, peer)| peer.address == address)?;
+        let since = *peer.down_since.get_or_insert(now);
+        let is_unreachable = fault == LinkFault::Unreachable && now.since(since) >= UNREACHABLE;
+        Some((vm.clone(), !peer.is_listed || is_unreachable))
     }
 
-    /// Where a VM is.
+    /// Returns the address of a VM.
     pub(crate) fn address(&self, vm: &Vm) -> Option<SocketAddr> {
-        self.rows.get(vm).map(|row| row.address)
+        self.peers.get(vm).map(|peer| peer.address)
     }
 
-    /// How much a VM can do for others, 0 where it is not known.
+    /// Returns the strength of a VM, 0 if the VM is not known.
     pub(crate) fn strength(&self, vm: &Vm) -> u32 {
-        self.rows.get(vm).map_or(0, |row| row.strength)
+        self.peers.get(vm).map_or(0, |peer| peer.strength)
     }
 
-    /// The availability zone of a VM.
+    /// Returns the availability zone of a VM.
     pub(crate) fn zone(&self, vm: &Vm) -> Option<&Zone> {
-        self.rows.get(vm).map(|row| &row.zone)
+        self.peers.get(vm).map(|peer| &peer.zone)
     }
 
     /// Whether a VM was heard since a time, and its link has not failed since.
     pub(crate) fn is_heard(&self, vm: &Vm, since: Instant) -> bool {
-        let row = self.rows.get(vm);
-        row.is_some_and(|row| row.heard >= since && row.down.is_none())
+        let peer = self.peers.get(vm);
+        peer.is_some_and(|peer| peer.heard_at >= since && peer.down_since.is_none())
     }
 
-    /// Whether this VM's link to another one has failed since that one was last heard.
+    /// Whether the link to a VM has failed since the VM was last heard.
     pub(crate) fn is_down(&self, vm: &Vm) -> bool {
-        self.rows.get(vm).is_some_and(|row| row.down.is_some())
+        self.peers
+            .get(vm)
+            .is_some_and(|peer| peer.down_since.is_some())
     }
 
-    /// The VMs that are there.
+    /// Returns the VMs that count as alive.
     pub(crate) fn present(&self, now: Instant) -> impl Iterator<Item = &Vm> {
-        let there =
-            move |row: &Row| row.listed || row.down.is_none() && now.since(row.heard) < KEPT;
-        self.rows
+        let is_alive = move |peer: &Peer| {
+            peer.is_listed || peer.down_since.is_none() && now.since(peer.heard_at) < KEEP_UNLISTED
+        };
+        self.peers
             .iter()
-            .filter(move |(_, row)| there(row))
+            .filter(move |(_, peer)| is_alive(peer))
             .map(|(vm, _)| vm)
     }
 
-    /// How many VMs are there, or were until a while ago, besides one.
+    /// Returns the number of VMs that are alive or were so within [`RECENT`], not counting `besides`.
     pub(crate) fn recent_count(&self, now: Instant, besides: &Vm) -> usize {
-        let there = |row: &Row| {
-            let seen = row.unlisted.max(row.heard);
-            row.listed || seen > Instant::default() && now.since(seen) < LATELY
+        let is_recent = |peer: &Peer| {
+            let seen = peer.unlisted_at.max(peer.heard_at);
+            peer.is_listed || seen > Instant::default() && now.since(seen) < RECENT
         };
-        let others = self.rows.iter().filter(|(vm, _)| *vm != besides);
-        others.filter(|(_, row)| there(row)).count()
+        let others = self.peers.iter().filter(|(vm, _)| *vm != besides);
+        others.filter(|(_, peer)| is_recent(peer)).count()
     }
 
-    fn row(&mut self, vm: &Vm, member: &Member) -> &mut Row {
-        let row = self.rows.entry(vm.clone()).or_insert(Row {
+    fn peer_mut(&mut self, vm: &Vm, member: &Member) -> &mut Peer {
+        let peer = self.peers.entry(vm.clone()).or_insert(Peer {
             address: member.address,
             zone: member.zone.clone(),
             strength: member.strength,
-            listed: false,
-            unlisted: Instant::default(),
-            heard: Instant::default(),
-            down: None,
+            is_listed: false,
+            unlisted_at: Instant::default(),
+            heard_at: Instant::default(),
+            down_since: None,
         });
-        row.address = member.address;
-        row.strength = member.strength;
-        row
+        peer.address = member.address;
+        peer.strength = member.strength;
+        peer
     }
 }
 
-/// The score of a choice by rendezvous hashing: the same on every VM.
+/// Returns the score of a choice in rendezvous hashing, which is the same on every VM.
 pub(crate) fn rendezvous_score<T: Hash + ?Sized>(choice: &T) -> u64 {
     let mut hasher = FxHasher::default();
     choice.hash(&mut hasher);
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -1,78 +1,83 @@
-//! This VM's own entry in the key-value service, by which others find it, under a slow lease.
+//! This VM's own entry in the key-value service, by which other VMs find it, and the entry's long lease.
 //!
-//! That a VM is there is not urgent: who depends on another VM hears of its end by its link. So the lease is long and renewed
-//! seldom, and an outage of some seconds ends none. A VM with the lease of a leadership renews that one quickly (`leadership`), and it
-//! is the only one: so VMs to which nothing happens cost the service little, however many they are.
+//! Other VMs need not learn from the entry that a VM has ended, since VMs that depend on it notice a failed
+//! link. So the lease is long and rarely renewed, and an outage of a few seconds doesn't end it. The lease of
+//! leaderships (`leadership`) is short, but only a VM that holds a leadership has one. So idle VMs make few
+//! calls of the key-value service, however many VMs there are.
 
 use std::collections::BTreeMap;
 
 use dahliastile_core::log::Code;
 use dahliastile_core::time::{Instant, Span};
 
-use crate::cluster::lease::{Kept, Terms};
+use crate::cluster::lease::{LeaseKeeper, Terms};
 use crate::cluster::snapshot::{EntryKey, EntryValue, Revision, proposed_change};
 use crate::effect::{Effects, KvOperation, KvOperationId};
 use crate::event::KvOutcome;
 use crate::node::Gateway;
 use crate::timer::Timer;
 
-/// The pause after the first call that failed.
-const RETRY: Span = Span::from_secs(1);
+/// The pause after the first failed call.
+const FIRST_RETRY: Span = Span::from_secs(1);
 
-/// The longest pause after calls that failed: three such calls fit into what is left of the lease when it is to be renewed.
-const RETRY_LONGEST: Span = Span::from_secs(4);
+/// The longest pause after failed calls: three calls at this pause fit into the lease's remaining time after
+/// its renewal is due.
+const MAX_RETRY: Span = Span::from_secs(4);
 
-/// The time within which all VMs call again when the key-value service is back, so that they don't call all at once.
-const BACK_WITHIN: Span = Span::from_millis(500);
+/// The time over which the VMs spread their calls when the key-value service is back, so that they don't call
+/// all at once.
+const RECOVERY_SPREAD: Span = Span::from_millis(500);
 
-/// The time within which an entry that was taken away is written anew.
+/// The time within which a deleted entry is written again.
 const REWRITE_WITHIN: Span = Span::from_millis(100);
 
-/// How long a renewal may have no answer before the key-value service counts as away here: fifty times its usual time.
-const OVERDUE: Span = Span::from_millis(200);
+/// How long a call may be unanswered before the key-value service counts as away: fifty times its usual
+/// response time.
+const CALL_OVERDUE: Span = Span::from_millis(200);
 
-/// What a call was for.
+/// The purpose of a call of the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// The lease.
+    /// To grant or renew the lease.
     Lease,
-    /// The entry.
-    Write,
-    /// The end of the lease.
-    End,
+    /// To write the entry.
+    WriteEntry,
+    /// To end the lease.
+    EndLease,
 }
 
 /// The entry and its lease.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// The lease.
-    lease: Kept,
-    /// The revision at which the entry was written under it.
-    written: Option<Revision>,
-    /// Calls in progress, with the time at which each was sent.
+    /// The entry's lease.
+    lease: LeaseKeeper,
+    /// The revision at which the entry was written under this lease; none if it is not known to exist.
+    written_revision: Option<Revision>,
+    /// Calls in progress, each with the time at which it was sent.
     calls: BTreeMap<KvOperationId, (Purpose, Instant)>,
 }
 
 impl State {
-    /// Whether a call is one on the entry.
+    /// Whether `op` is a call for the entry or its lease.
     pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.calls.contains_key(&op)
     }
 
-    /// When the lease was granted, where this VM has one.
-    pub(crate) fn granted(&self) -> Option<Instant> {
-        self.lease.id().map(|_| self.lease.granted())
+    /// Returns when the lease was granted; none if this VM has no lease.
+    pub(crate) fn granted_at(&self) -> Option<Instant> {
+        self.lease.id().map(|_| self.lease.granted_at())
     }
 
-    /// The revision at which the entry was written, as long as it is not known to be gone.
-    pub(crate) fn written(&self) -> Option<Revision> {
-        self.written
+    /// Returns the revision at which the entry was written, unless the entry is known to be gone.
+    pub(crate) fn written_revision(&self) -> Option<Revision> {
+        self.written_revision
     }
 
-    /// Whether the key-value service leaves calls of this VM without an answer, or turned the last one away.
-    pub(crate) fn unanswered(&self, now: Instant) -> bool {
-        let late = |sent: &Instant| now.since(*sent) >= OVERDUE;
-        self.lease.failing() || self.calls.values().any(|(_, sent)| late(sent))
+    /// Whether the key-value service has left a call of this VM unanswered for [`CALL_OVERDUE`], or the last call
+    /// for the lease failed.
+    pub(crate) fn is_unanswered(&self, now: Instant) -> bool {
+        let late = |sent: &Instant| now.since(*sent) >= CALL_OVERDUE;
+        self.lease.is_failing() || self.calls.values().any(|(_, sent)| late(sent))
     }
 }
 
@@ -80,32 +85,32 @@
     fn registration_terms(&self) -> Terms {
         Terms {
             ttl: self.settings.tuning.entry_lease,
-            renew: self.settings.tuning.entry_renew,
-            retry: RETRY,
-            longest: RETRY_LONGEST,
+            renew_interval: self.settings.tuning.entry_renew,
+            first_retry: FIRST_RETRY,
+            max_retry: MAX_RETRY,
         }
     }
 
-    /// Calls on the entry, where one is due.
+    /// Requests or renews the lease if that is due, and sets the timer for the next call.
     pub(crate) fn handle_registration_timer(&mut self, out: &mut Effects) {
         if self.stopping {
             return;
         }
-        if let Some(due) = self.registration.lease.due(self.now) {
+        if let Some(due) = self.registration.lease.due_call(self.now) {
             let op = due.op(self.registration_terms().ttl);
-            self.registration.lease.called();
-            self.registration_call(Purpose::Lease, op, out);
+            self.registration.lease.record_call();
+            self.start_registration_call(Purpose::Lease, op, out);
         }
-        self.await_registration();
+        self.set_registration_timer();
     }
 
-    fn await_registration(&mut self) {
-        if let Some(next) = self.registration.lease.next() {
+    fn set_registration_timer(&mut self) {
+        if let Some(next) = self.registration.lease.next_call() {
             self.timers.set_once(next, Timer::Registration);
         }
     }
 
-    /// A call on the entry came back.
+    /// Handles the outcome of a call for the entry or its lease.
     pub(crate) fn handle_registration_outcome(
         &mut self,
         op: KvOperationId,
@@ -118,45 +123,56 @@
         let (now, terms) = (self.now, self.registration_terms());
         match (purpose, outcome) {
             (Purpose::Lease, KvOutcome::Granted(id, _)) => {
-                self.registration.lease.was_granted(now, sent, id, terms);
-                self.registration.written = None;
+                self.registration.lease.record_grant(now, sent, id, terms);
+                self.registration.written_revision = None;
                 self.register(out);
                 self.update_candidacies(out);
             }
             (Purpose::Lease, KvOutcome::Renewed(_)) => {
-                self.registration.lease.was_renewed(sent, terms);
-                if self.registration.written.is_none() {
+                self.registration.lease.record_renewal(sent, terms);
+                if self.registration.written_revision.is_none() {
                     self.register(out);
                 }
             }
-            (Purpose::Write, KvOutcome::Written(revision)) => {
-                self.registration.written = Some(revision);
-                self.take_asked(out);
+            (Purpose::WriteEntry, KvOutcome::Written(revision)) => {
+                self.registration.written_revision = Some(revision);
+                self.take_awaiting_lease(out);
             }
-            (Purpose::Lease | Purpose::Write, KvOutcome::NoLease) => {
-                self.registration.lease.ended(now, terms, &mut self.rng);
-                self.registration.written = None;
+            (Purpose::Lease | Purpose::WriteEntry, KvOutcome::NoLease) => {
+                self.registration
+                    .lease
+                    .record_end(now, terms, &mut self.rng);
+                self.registration.written_revision = None;
                 let detail = "of=entry next=grant".to_owned();
                 Self::log(out, Code::StoreLeaseLost, detail);
             }
-            (Purpose::Lease, _) => self.registration.lease.failed(now, terms, &mut self.rng),
-            (Purpose::Write, _) => self.registration.lease.expedite(now, RETRY, &mut self.rng),
-            (Purpose::End, _) => {}
+            (Purpose::Lease, _) => {
+                self.registration
+                    .lease
+                    .record_failure(now, terms, &mut self.rng);
+            }
+            (Purpose::WriteEntry, _) => {
+                self.registration
+                    .lease
+                    .expedite(now, FIRST_RETRY, &mut self.rng);
+            }
+            (Purpose::EndLease, _) => {}
         }
         self.handle_registration_timer(out);
     }
 
-    /// The key-value service answers again: what failed meanwhile is tried again.
-    pub(crate) fn registration_back(&mut self) {
-        if self.registration.lease.failing() {
-            self.expedite_registration(BACK_WITHIN);
+    /// Schedules a retry within [`RECOVERY_SPREAD`] if the last call for the lease failed, since the key-value
+    /// service answers again.
+    pub(crate) fn retry_registration(&mut self) {
+        if self.registration.lease.is_failing() {
+            self.expedite_registration(RECOVERY_SPREAD);
         }
     }
 
-    /// This VM's entry was taken away, though it lives.
-    pub(crate) fn registration_gone(&mut self) {
+    /// Schedules a new write of this VM's entry, which was deleted although the VM is alive.
+    pub(crate) fn rewrite_registration(&mut self) {
         if !self.stopping {
-            self.registration.written = None;
+            self.registration.written_revision = None;
             self.expedite_registration(REWRITE_WITHIN);
         }
     }
@@ -169,11 +185,12 @@
         self.handle_registration_timer(out);
     }
 
-    /// Takes the entry away, for a graceful stop: nobody has to wait for the end of its lease.
+    /// Deletes this VM's entry for a graceful stop by ending its lease, so that other VMs need not wait for the
+    /// lease to expire.
     pub(crate) fn deregister(&mut self, out: &mut Effects) {
         if let Some(lease) = self.registration.lease.id() {
-            self.registration.lease.drop_it();
-            self.registration_call(Purpose::End, KvOperation::RevokeLease(lease), out);
+            self.registration.lease.give_up();
+            self.start_registration_call(Purpose::EndLease, KvOperation::RevokeLease(lease), out);
         }
     }
 
@@ -181,23 +198,23 @@
         self.registration
             .lease
             .expedite(self.now, within, &mut self.rng);
-        self.await_registration();
+        self.set_registration_timer();
     }
 
     fn register(&mut self, out: &mut Effects) {
         let Some(lease) = self.registration.lease.id() else {
             return;
         };
-        let fact = EntryValue::Member(self.member());
-        let change = proposed_change(EntryKey::Member(self.settings.vm.clone()), fact);
-        self.registration_call(
-            Purpose::Write,
+        let value = EntryValue::Member(self.member());
+        let change = proposed_change(EntryKey::Member(self.settings.vm.clone()), value);
+        self.start_registration_call(
+            Purpose::WriteEntry,
             KvOperation::Put(change, lease, Vec::new()),
             out,
         );
     }
 
-    fn registration_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
+    fn start_registration_call(&mut self, purpose: Purpose, op: KvOperation, out: &mut Effects) {
         let now = self.now;
         let id = self.call_kv(op, out);
         self.registration.calls.insert(id, (purpose, now));
--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -1,8 +1,9 @@
-//! Which VMs tell others what all are told: a few that watch the key-value service for all, and one in each availability zone that
-//! hears from them and tells its zone.
+//! Which VMs distribute what all VMs need: a few watchers, which watch the key-value service for all VMs, and
+//! one relay per availability zone, which receives from a watcher and sends to its zone.
 //!
-//! Both follow from what each VM knows of the others, so that none is appointed: the strongest watch, and the strongest of a zone
-//! tells it, among equals by hashing. A VM that fails to is passed by (`watch`).
+//! Each VM derives the roles from the members that it knows, without an election: the strongest VMs are
+//! watchers, and the strongest VM of a zone is its relay; ties are broken by hashing. A VM that fails in its
+//! role is excluded for a while by the VMs that depend on it (`watch`).
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -14,47 +15,47 @@
 use crate::message::{EngineResidents, Message};
 use crate::node::Gateway;
 
-/// VMs that watch the key-value service by themselves: one may fail while another is being replaced.
+/// The number of VMs that watch the key-value service directly: one may fail while another is being replaced.
 const WATCHERS: usize = 3;
 
-/// The place of a VM in the order in which VMs do something for others.
+/// The rank of a VM in the order in which VMs are chosen for these roles; lower comes first.
 type Rank = (Reverse<u32>, u64);
 
 impl Gateway {
-    fn rank_for_all(&self, vm: &Vm) -> Rank {
+    fn role_rank(&self, vm: &Vm) -> Rank {
         (
             Reverse(self.strength(vm)),
             membership::rendezvous_score(vm.as_str()),
         )
     }
 
-    /// The VMs that watch for all.
+    /// Returns the VMs that watch the key-value service for all.
     pub(crate) fn watchers(&self) -> Vec<&Vm> {
-        self.first_vms(WATCHERS, |vm| self.rank_for_all(vm))
+        self.first_vms(WATCHERS, |vm| self.role_rank(vm))
     }
 
-    /// Whether this VM is one of those that watch for all.
-    pub(crate) fn watches(&self) -> bool {
+    /// Whether this VM is one of the watchers.
+    pub(crate) fn is_watcher(&self) -> bool {
         self.watchers().contains(&&self.settings.vm)
     }
 
-    /// The VM that tells this VM's availability zone, of those that will do.
-    pub(crate) fn relay(&self, will_do: impl Fn(&Vm) -> bool) -> &Vm {
+    /// Returns the relay of this VM's availability zone, among this VM and the peers that are eligible.
+    pub(crate) fn relay(&self, is_eligible: impl Fn(&Vm) -> bool) -> &Vm {
         let zone = &self.settings.zone;
         let peers = self
             .peers()
-            .filter(|vm| self.membership.zone(vm) == Some(zone) && will_do(vm));
+            .filter(|vm| self.membership.zone(vm) == Some(zone) && is_eligible(vm));
         let vms = peers.chain([&self.settings.vm]);
-        let first = vms.min_by_key(|vm| self.rank_for_all(vm));
+        let first = vms.min_by_key(|vm| self.role_rank(vm));
         first.unwrap_or(&self.settings.vm)
     }
 
-    /// Whether this VM tells its availability zone.
+    /// Whether this VM is the relay of its availability zone.
     fn is_relay(&self) -> bool {
         self.relay(|_| true) == &self.settings.vm
     }
 
-    /// The VMs that tell the other availability zones, as far as this VM reaches them.
+    /// Returns the relays of the other availability zones, among the VMs to which this VM's link is up.
     fn relays(&self) -> Vec<&Vm> {
         let mut relays: BTreeMap<&Zone, &Vm> = BTreeMap::new();
         for vm in self.peers().filter(|vm| !self.membership.is_down(vm)) {
@@ -62,7 +63,7 @@
                 continue;
             };
             let relay = relays.entry(zone).or_insert(vm);
-            if self.rank_for_all(vm) < self.rank_for_all(relay) {
+            if self.role_rank(vm) < self.role_rank(relay) {
                 *relay = vm;
             }
         }
@@ -70,8 +71,9 @@
         relays.into_values().collect()
     }
 
-    /// Tells all other VMs what engines hold: those of this VM's availability zone, and one of each other zone for its zone. Bytes
-    /// between zones cost the most of what the fleet says to itself; so one message crosses each border for a digest, whatever the number of VMs.
+    /// Sends the resident adapters of a service's engines to all other VMs: directly within this VM's
+    /// availability zone, and through the relay of each other zone. Traffic between zones is the most expensive
+    /// traffic between VMs; this way one message per digest crosses to each zone, whatever the number of VMs.
     pub(crate) fn broadcast_residents(
         &self,
         service: &Service,
@@ -79,14 +81,15 @@
         residents: Vec<EngineResidents>,
         out: &mut Effects,
     ) {
-        self.tell_zone(service, fence, &residents, out);
-        let told = Message::ResidentAdapters(service.clone(), fence, residents);
+        self.send_to_zone(service, fence, &residents, out);
+        let message = Message::ResidentAdapters(service.clone(), fence, residents);
         for vm in self.relays() {
-            self.send(vm, told.clone(), out);
+            self.send(vm, message.clone(), out);
         }
     }
 
-    /// Passes what the scheduler told of engines on, where this VM tells its availability zone.
+    /// Relays the scheduler's message about resident adapters to this VM's availability zone, if this VM is its
+    /// relay.
     pub(crate) fn relay_residents(
         &self,
         service: &Service,
@@ -95,11 +98,11 @@
         out: &mut Effects,
     ) {
         if self.is_relay() {
-            self.tell_zone(service, fence, residents, out);
+            self.send_to_zone(service, fence, residents, out);
         }
     }
 
-    fn tell_zone(
+    fn send_to_zone(
         &self,
         service: &Service,
         fence: u64,
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -1,34 +1,37 @@
-//! What VMs tell each other of the key-value service's changes.
+//! Replication of the key-value service's changes from VM to VM.
 
 use dahliastile_core::id::Vm;
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
 use crate::cluster::snapshot::{Change, Delivery, Revision};
-use crate::cluster::watch::{ALONE_GAP, SILENCE};
+use crate::cluster::watch::{DIRECT_WATCH_PAUSE, UPSTREAM_TIMEOUT};
 use crate::effect::Effects;
 use crate::message::{Message, Replication};
 use crate::node::Gateway;
 use crate::timer::Timer;
 
-/// How long ago the key-value service may have answered a VM that is followed, as far as that VM knows: a watch's length, the
-/// pause after it, a question and some. An older answer says that the VM's way to the service is not good.
-const FRESH: Span = Span::from_millis(1_100);
+/// The greatest age of the key-value service's last answer to an upstream, as reported by that upstream, at
+/// which the upstream counts as fresh: the duration of a watch, the pause after it, the interval of
+/// subscriptions and some margin. An older answer shows that the upstream's connection to the service is
+/// impaired.
+const WATCHER_FRESHNESS: Span = Span::from_millis(1_100);
 
-/// The same for a VM that tells its availability zone, which hears of the answers from another one: a question more. Then its zone
-/// turns to the next one, which has [`SECOND_SILENCE`] to reach the service, two seconds being what a configuration has.
-const FRESH_IN_ZONE: Span = Span::from_millis(1_400);
+/// The same for the relay of an availability zone, which learns of the answers from a watcher: one more
+/// interval of subscriptions. After that, the zone turns to its next relay, which has `SECOND_UPSTREAM_TIMEOUT`
+/// to reach the service, since a configuration must be in force within two seconds.
+const RELAY_FRESHNESS: Span = Span::from_millis(1_400);
 
-/// How long a peer that asked is told of changes: five of its questions.
-const SUBSCRIPTION: Span = Span::from_millis(2_000);
+/// How long a subscription is valid: time for five messages that renew it.
+const SUBSCRIPTION_DURATION: Span = Span::from_millis(2_000);
 
 impl Gateway {
-    /// A VM wants to be told of changes after a revision.
+    /// Handles a subscription: `from` wants the changes after the revision `since`.
     pub(crate) fn handle_subscribe(&mut self, from: &Vm, since: Revision, out: &mut Effects) {
-        let until = self.now + SUBSCRIPTION;
-        self.watch.followers.insert(from.clone(), until);
-        let changes: Vec<Change> = self.snapshot.after(since).cloned().collect();
-        let batch = self.batch(since, self.watch.cursor.unwrap_or(since), changes);
+        let until = self.now + SUBSCRIPTION_DURATION;
+        self.watch.subscribers.insert(from.clone(), until);
+        let changes: Vec<Change> = self.snapshot.changes_after(since).cloned().collect();
+        let batch = self.new_batch(since, self.watch.cursor.unwrap_or(since), changes);
         self.send(from, Message::Replicate(batch), out);
         if since == 0 {
             self.tell_quarantines(from, out);
@@ -36,24 +39,24 @@
         }
     }
 
-    /// Takes changes in that another VM passes on.
+    /// Applies the changes that another VM sent.
     pub(crate) fn apply_replicated(&mut self, from: &Vm, batch: Replication, out: &mut Effects) {
         let answered = self.now.back(batch.age);
-        let stale_at = answered + self.fresh(from);
-        if self.watch.leader.as_ref() == Some(from) {
-            self.watch.heard = self.now;
-            self.watch.patience = SILENCE;
-            self.watch.vouched = answered;
+        let stale_at = answered + self.freshness_limit(from);
+        if self.watch.upstream.as_ref() == Some(from) {
+            self.watch.upstream_heard_at = self.now;
+            self.watch.upstream_timeout = UPSTREAM_TIMEOUT;
+            self.watch.upstream_answered_at = answered;
             self.timers.set(stale_at, Timer::Watch);
         }
         if self.now < stale_at {
-            self.store_answers(answered, from, out);
+            self.record_reported_answer(answered, from, out);
         }
         let since = self.watch.cursor;
-        let taken = batch
+        let has_new_values = batch
             .changes
             .iter()
-            .any(|change| self.snapshot.differs(change));
+            .any(|change| self.snapshot.is_new_value(change));
         self.apply_changes(batch.changes, Delivery::LatestOnly, batch.recovering, out);
         match self.watch.cursor {
             Some(cursor) if cursor >= batch.since && batch.until > cursor => {
@@ -61,50 +64,53 @@
             }
             _ => {}
         }
-        // Each VM passes a change on once, so that VMs which follow each other don't tell each other again and again, and not for
-        // entries that are only newer: with 3,000 servers those would go round without end after a start of all VMs.
-        if let (true, Some(since), Some(until)) = (taken, since, self.watch.cursor) {
-            let changes = self.snapshot.after(since).cloned().collect();
-            self.pass_on(changes, since, until, out);
+        // Each VM sends a change on once, so that VMs that subscribe to each other don't repeat it endlessly.
+        // Changes that only raise an entry's revision are not sent on: with 3,000 servers those would circulate
+        // forever after a start of all VMs.
+        if let (true, Some(since), Some(until)) = (has_new_values, since, self.watch.cursor) {
+            let changes = self.snapshot.changes_after(since).cloned().collect();
+            self.send_to_subscribers(changes, since, until, out);
         }
     }
 
-    /// How long ago the key-value service may have answered a VM that is followed.
-    pub(crate) fn fresh(&self, from: &Vm) -> Span {
+    /// Returns the age of the key-value service's last answer up to which an upstream counts as fresh.
+    pub(crate) fn freshness_limit(&self, from: &Vm) -> Span {
         if self.watchers().contains(&from) {
-            FRESH
+            WATCHER_FRESHNESS
         } else {
-            FRESH_IN_ZONE
+            RELAY_FRESHNESS
         }
     }
 
-    /// Another VM says that the key-value service answered it, or a third one, at a time.
-    fn store_answers(&mut self, at: Instant, from: &Vm, out: &mut Effects) {
-        if self.watch.leader.as_ref() == Some(from) {
-            self.store_back(at, out);
-        } else if self.watch.away.is_some() && self.watch.op.is_none() {
-            let soon = self.now + Span(self.rng.random_range(0..ALONE_GAP.0));
-            if soon < self.watch.next {
+    /// Handles the report of another VM that the key-value service answered it, or a VM upstream of it, at a
+    /// time.
+    fn record_reported_answer(&mut self, at: Instant, from: &Vm, out: &mut Effects) {
+        if self.watch.upstream.as_ref() == Some(from) {
+            self.record_store_answer(at, out);
+        } else if self.watch.away_since.is_some() && self.watch.op.is_none() {
+            let soon = self.now + Span(self.rng.random_range(0..DIRECT_WATCH_PAUSE.0));
+            if soon < self.watch.next_call {
                 self.watch.failures = 0;
-                self.call_in(soon.since(self.now));
+                self.schedule_call(soon.since(self.now));
             }
         }
     }
 
-    /// Passes changes on that this VM's watch shows, and that have come after all that is known.
-    pub(crate) fn tell_followers(
+    /// Sends the relevant changes of this VM's own watch to its subscribers. All of them are newer than the
+    /// cursor.
+    pub(crate) fn send_watched_changes(
         &mut self,
         changes: &[Change],
         revision: Revision,
         out: &mut Effects,
     ) {
         let since = self.watch.cursor.unwrap_or(0);
-        let changes = self.snapshot.changes_among(changes, since);
-        self.pass_on(changes, since, revision, out);
+        let changes = self.snapshot.relevant_changes(changes, since);
+        self.send_to_subscribers(changes, since, revision, out);
     }
 
-    /// Tells the VMs that follow this one of changes after a revision and up to another one.
-    fn pass_on(
+    /// Sends changes after the revision `since` and up to `until` to this VM's subscribers.
+    fn send_to_subscribers(
         &mut self,
         changes: Vec<Change>,
         since: Revision,
@@ -112,23 +118,23 @@
         out: &mut Effects,
     ) {
         let now = self.now;
-        self.watch.followers.retain(|_, until| *until > now);
-        if changes.is_empty() || self.watch.followers.is_empty() {
+        self.watch.subscribers.retain(|_, until| *until > now);
+        if changes.is_empty() || self.watch.subscribers.is_empty() {
             return;
         }
-        let batch = self.batch(since, until, changes);
-        let followers: Vec<Vm> = self.watch.followers.keys().cloned().collect();
-        for vm in followers {
+        let batch = self.new_batch(since, until, changes);
+        let subscribers: Vec<Vm> = self.watch.subscribers.keys().cloned().collect();
+        for vm in subscribers {
             self.send(&vm, Message::Replicate(batch.clone()), out);
         }
     }
 
-    fn batch(&self, since: Revision, until: Revision, changes: Vec<Change>) -> Replication {
+    fn new_batch(&self, since: Revision, until: Revision, changes: Vec<Change>) -> Replication {
         Replication {
             since,
             until,
             age: self.store_answer_age(),
-            recovering: self.recovering(),
+            recovering: self.is_recovering(),
             changes,
         }
     }
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -1,4 +1,5 @@
-//! Facts of the key-value service, each with the revision of its last change.
+//! A snapshot of the key-value service: its entries as far as this VM knows them, each with the revision of its
+//! last change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,87 +17,88 @@
 /// The number of a change in the key-value service; higher is later.
 pub type Revision = u64;
 
-/// What a fact is about.
+/// The decoded key of an entry: what the entry is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EntryKey {
     /// The operator's configuration.
     Config,
-    /// The newest version of an adapter of a base model.
+    /// The newest version of an adapter of a base model (model, adapter).
     Version(Arc<str>, Arc<str>),
     /// A backend server.
     Server(Server),
     /// An entry VM.
     Member(Vm),
-    /// The VM that schedules a service's engines.
+    /// The holder of a service's leadership: the VM that schedules its engines.
     Holder(Service),
     /// A request that crashes the servers that run it.
     Quarantine(Fingerprint),
 }
 
-/// An adapter at a version that a server says it holds.
+/// An adapter version that a server reports as resident.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resident {
     /// The adapter's name.
     pub adapter: Arc<str>,
-    /// Its version.
+    /// The adapter's version.
     pub version: Version,
 }
 
-/// A base model that a server says it holds.
+/// A base model that a server reports as resident.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResidentModel {
-    /// Its name.
+    /// The model's name.
     pub model: Arc<str>,
-    /// The version of its weights.
+    /// The version of the model's weights.
     pub version: Version,
-    /// Its adapters there.
+    /// The adapters resident with this model.
     pub adapters: Vec<Resident>,
 }
 
-/// A backend server as it describes itself, as far as it matters to whoever sends work there. Which adapters it holds and how
-/// many orders it has accepted changes all the time, and its scheduler knows better.
+/// A backend server's description of itself, as far as VMs that send work to it need it. Its resident adapters
+/// and the number of orders that it has accepted are left out: they change all the time, and its scheduler
+/// knows them better.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its service.
+    /// The service that it runs.
     pub service: Service,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// Requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub ready: bool,
-    /// The base models that it holds.
+    /// The names of its resident base models.
     pub bases: Vec<Arc<str>>,
-    /// Its start, where deployments tell it. A later start may bear a lower number, since clocks step: numbers only tell
-    /// starts apart.
+    /// The incarnation of its process, if the deployment reports incarnations. A later start may have a lower
+    /// number, since clocks step: numbers only distinguish starts.
     pub start: Option<Incarnation>,
 }
 
-/// An entry VM as it describes itself.
+/// An entry VM's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where other VMs reach it.
+    /// The address at which other VMs reach it.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// Its start.
+    /// The incarnation of its process, which distinguishes its starts.
     pub incarnation: Incarnation,
-    /// How much it can do for others.
+    /// Its capacity to do work for other VMs; higher is stronger.
     pub strength: u32,
 }
 
 /// The VM that schedules a service's engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The VM.
+    /// The VM's name.
     pub vm: Vm,
-    /// Its start.
+    /// The incarnation of the VM's process.
     pub incarnation: Incarnation,
 }
 
-/// What the key-value service says about a subject.
+/// The decoded value of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryValue {
     /// The operator's configuration.
@@ -107,75 +109,82 @@
     Server(Arc<Backend>),
     /// An entry VM.
     Member(Member),
-    /// The scheduler of a service.
+    /// The holder of a service's leadership.
     Holder(Holder),
     /// The request is refused.
     Quarantine,
-    /// An entry that can't be read, as another program may have written it. It tells nothing of its subject.
+    /// A value that can't be decoded, since another program may have written it. It says nothing about its key.
     Unreadable,
 }
 
-/// A change of one subject; none where it is no longer there.
+/// A change of one entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The subject.
+    /// The entry's key.
     pub key: EntryKey,
     /// The revision of the change.
     pub revision: Revision,
-    /// The revision at which the subject came to be there, 0 where it is gone.
+    /// The revision at which the entry was created, 0 if it was deleted.
     pub created: Revision,
-    /// What it is now.
+    /// The new value; none if the entry was deleted.
     pub value: Option<EntryValue>,
 }
 
-/// What is known of one subject.
+/// What is known of one entry.
 #[derive(Debug)]
-struct Row {
-    /// Its last change.
+struct KnownEntry {
+    /// The entry's last change.
     change: Change,
-    /// The revision of its last change that says anything new to VMs that follow this one.
-    changed: Revision,
-    /// Whether it is gone, and only not taken for gone yet: that it is back then says something new.
-    lapsed: bool,
+    /// The revision of the last change that is relevant to this VM's subscribers, i.e. that may change the
+    /// value that they know.
+    last_relevant: Revision,
+    /// Whether the entry has disappeared but its server is kept for a grace period. The entry's return is then
+    /// relevant to subscribers even with an unchanged value.
+    is_lapsed: bool,
 }
 
-/// How a change came.
+/// Whether a change comes with all earlier changes of its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// By this VM's own watch, which shows each change of a subject, one after the other.
+    /// Each change of the entry, one after the other, as this VM's own watch shows them.
     EveryChange,
-    /// By a list, another VM or a conflict, which may leave earlier changes of the subject out.
+    /// The latest change of the entry; earlier ones may be missing. Lists, conflicts and other VMs deliver
+    /// changes in this way.
     LatestOnly,
 }
 
-/// All facts known, with the last revision of each subject, also of those that are gone.
+/// All known entries, with the revision of the last change of each. Deleted entries are included.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// What is known of each subject.
-    rows: BTreeMap<EntryKey, Row>,
+    /// What is known of each entry.
+    entries: BTreeMap<EntryKey, KnownEntry>,
 }
 
 impl Snapshot {
-    /// Takes a change in, unless the subject's known one is as new. Says whether it was taken.
-    pub fn apply(&mut self, change: Change, way: Delivery) -> bool {
-        match self.rows.get_mut(&change.key) {
+    /// Applies a change, unless the known one of the same key is as new or newer. Returns whether it was
+    /// applied.
+    pub fn apply(&mut self, change: Change, delivery: Delivery) -> bool {
+        match self.entries.get_mut(&change.key) {
             Some(known) if known.change.revision >= change.revision => false,
             Some(known) => {
-                let lapsed = std::mem::take(&mut known.lapsed);
-                if way == Delivery::LatestOnly || lapsed || known.change.value != change.value {
-                    known.changed = change.revision;
+                let is_lapsed = std::mem::take(&mut known.is_lapsed);
+                if delivery == Delivery::LatestOnly
+                    || is_lapsed
+                    || known.change.value != change.value
+                {
+                    known.last_relevant = change.revision;
                 }
                 known.change = change;
                 true
             }
             None => {
-                let changed = change.revision;
-                self.rows.insert(
+                let last_relevant = change.revision;
+                self.entries.insert(
                     change.key.clone(),
-                    Row {
+                    KnownEntry {
                         change,
-                        changed,
-                        lapsed: false,
+                        last_relevant,
+                        is_lapsed: false,
                     },
                 );
                 true
@@ -183,84 +192,86 @@
         }
     }
 
-    /// Whether a change is newer than what is known of its subject.
+    /// Whether a change is newer than the known one of its key.
     #[must_use]
-    pub fn lacks(&self, change: &Change) -> bool {
-        let known = self.rows.get(&change.key);
+    pub fn is_newer(&self, change: &Change) -> bool {
+        let known = self.entries.get(&change.key);
         known.is_none_or(|known| known.change.revision < change.revision)
     }
 
-    /// Whether a change is newer than what is known of its subject and says something else. Servers rewrite their entries as they are
-    /// about once a second each, which nobody needs to hear of.
+    /// Whether a change is newer than the known one of its key and changes the value. Each server rewrites its
+    /// entry about once a second with the same value, and those changes need not be sent on.
     #[must_use]
-    pub fn differs(&self, change: &Change) -> bool {
-        let known = self.rows.get(&change.key);
+    pub fn is_new_value(&self, change: &Change) -> bool {
+        let known = self.entries.get(&change.key);
         known.is_none_or(|known| {
             let newer = known.change.revision < change.revision;
-            newer && (known.lapsed || known.change.value != change.value)
+            newer && (known.is_lapsed || known.change.value != change.value)
         })
     }
 
-    /// Whether a watched change tells a VM that knows all up to a revision anything that matters to it. It does also where
-    /// this VM was told of the change before, as the other one may not have been.
+    /// Whether a watched change is relevant to a VM that knows all changes up to `since`. It is also relevant
+    /// if this VM received the same change earlier by another way, since the other VM may not have received it.
     #[must_use]
-    pub fn is_change(&self, change: &Change, since: Revision) -> bool {
-        let known = self.rows.get(&change.key);
+    pub fn is_relevant(&self, change: &Change, since: Revision) -> bool {
+        let known = self.entries.get(&change.key);
         known.is_none_or(|known| {
-            known.changed > since || known.lapsed || known.change.value != change.value
+            known.last_relevant > since || known.is_lapsed || known.change.value != change.value
         })
     }
 
-    /// The watched changes that tell such a VM anything. Where one of a subject does, all later ones of it do: an entry that goes
-    /// and is back as it was says nothing new only to those who did not hear that it went.
+    /// Returns the watched changes that are relevant to a VM that knows all changes up to `since`. After the
+    /// first relevant change of a key, all later ones of the key count as relevant: an entry that is deleted
+    /// and written again with the same value is unchanged only to a VM that was not sent the deletion.
     #[must_use]
-    pub fn changes_among(&self, changes: &[Change], since: Revision) -> Vec<Change> {
-        let mut told: BTreeSet<&EntryKey> = BTreeSet::new();
-        let mut differing = Vec::new();
+    pub fn relevant_changes(&self, changes: &[Change], since: Revision) -> Vec<Change> {
+        let mut relevant_keys: BTreeSet<&EntryKey> = BTreeSet::new();
+        let mut relevant = Vec::new();
         for change in changes {
-            if told.contains(&change.key) || self.is_change(change, since) {
-                told.insert(&change.key);
-                differing.push(change.clone());
+            if relevant_keys.contains(&change.key) || self.is_relevant(change, since) {
+                relevant_keys.insert(&change.key);
+                relevant.push(change.clone());
             }
         }
-        differing
+        relevant
     }
 
-    /// A subject is gone, but is not taken for gone yet.
-    pub fn lapse(&mut self, subject: &EntryKey) {
-        if let Some(row) = self.rows.get_mut(subject) {
-            row.lapsed = true;
+    /// Marks an entry as missing while its server is kept for a grace period.
+    pub fn mark_lapsed(&mut self, key: &EntryKey) {
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.is_lapsed = true;
         }
     }
 
-    /// Takes a subject as gone without a change that says so; any later change brings it back.
-    pub fn forget(&mut self, subject: &EntryKey) {
-        if let Some(row) = self.rows.get_mut(subject) {
-            row.change.value = None;
+    /// Marks an entry as deleted without a change that says so; any later change restores it.
+    pub fn mark_deleted(&mut self, key: &EntryKey) {
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.change.value = None;
         }
     }
 
-    /// The last change of a subject.
+    /// Returns the last change of an entry.
     #[must_use]
-    pub fn get(&self, subject: &EntryKey) -> Option<&Change> {
-        self.rows.get(subject).map(|row| &row.change)
+    pub fn get(&self, key: &EntryKey) -> Option<&Change> {
+        self.entries.get(key).map(|entry| &entry.change)
     }
 
-    /// The changes after a revision that matter to VMs that follow this one.
-    pub fn after(&self, revision: Revision) -> impl Iterator<Item = &Change> {
-        let rows = self.rows.values();
-        rows.filter(move |row| row.changed > revision)
-            .map(|row| &row.change)
+    /// Returns the changes after a revision that are relevant to subscribers.
+    pub fn changes_after(&self, revision: Revision) -> impl Iterator<Item = &Change> {
+        let entries = self.entries.values();
+        entries
+            .filter(move |entry| entry.last_relevant > revision)
+            .map(|entry| &entry.change)
     }
 
-    /// The subjects that are there.
-    pub fn present(&self) -> impl Iterator<Item = &Change> {
-        let changes = self.rows.values().map(|row| &row.change);
+    /// Returns the last changes of the entries that exist.
+    pub fn existing(&self) -> impl Iterator<Item = &Change> {
+        let changes = self.entries.values().map(|entry| &entry.change);
         changes.filter(|change| change.value.is_some())
     }
 }
 
-/// A fact that this VM writes; the key-value service gives it its revision.
+/// Returns a change that this VM is to write; the key-value service assigns its revision.
 pub(crate) fn proposed_change(key: EntryKey, value: EntryValue) -> Change {
     Change {
         key,
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -1,9 +1,12 @@
-//! Following the key-value service: one list, then one watch after the other, by a few VMs; the others hear from them.
+//! Watches the key-value service: first a list, then one watch after the other. A few VMs do so directly; all
+//! others receive the changes from them.
 //!
-//! Each change wakes each watch, and each call is counted against rates that all VMs share. So only a few VMs watch
-//! (`relay`); one VM of each availability zone follows one of them, and is followed by its zone, so that what all are told crosses
-//! the border of a zone once. Each is told at once. Who hears nothing for a while follows another one, then watches by itself. One
-//! that can't reach the service asks others for what they know.
+//! Each change completes the pending watches, and all calls count against rate limits that the VMs share. So
+//! only a few VMs, the watchers (`relay`), watch directly. One VM in each availability zone, the relay,
+//! subscribes to a watcher, and the other VMs of the zone subscribe to the relay, so each change crosses to a
+//! zone once. Changes are sent to subscribers at once. A VM whose upstream is silent chooses another upstream,
+//! then watches directly for a while. A VM that can't reach the key-value service queries other VMs for the
+//! changes that they know.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,72 +25,76 @@
 use crate::node::Gateway;
 use crate::timer::Timer;
 
-/// The pause between two watches, in which changes gather: servers rewrite their entries about once a second each, and each
-/// change would be a call. It delays a change by so much, of the two seconds within which one is to be in force.
-const WATCH_GAP: Span = Span::from_millis(200);
+/// The pause between two watches, in which changes accumulate: each server rewrites its entry about once a
+/// second, and without the pause each change would cost a call. The pause delays a change by up to its length;
+/// a configuration must be in force within two seconds.
+const WATCH_PAUSE: Span = Span::from_millis(200);
 
-/// The same for a VM that watches only because those that watch for all are silent, and the least time between its calls
-/// while the key-value service does not answer: all VMs may do so at once, and what they call together is to stay well
-/// below its rates (2,000 reads a second at the smaller deployments) also with some hundred of them.
-pub(crate) const ALONE_GAP: Span = Span::from_millis(400);
+/// The same for a VM that watches directly only because the watchers are silent, and the least time between its
+/// calls while the key-value service doesn't answer. All VMs may be in this state at once, and even with a few
+/// hundred VMs their calls must stay well below the service's rate limits (2,000 reads a second in the smaller
+/// deployments).
+pub(crate) const DIRECT_WATCH_PAUSE: Span = Span::from_millis(400);
 
-/// How often that least time is doubled after calls that failed: to some three to six seconds. Who is told by another VM that the service is back calls it at once.
-const DOUBLINGS: u32 = 3;
+/// How many times that least time doubles after failed calls: it grows to between three and six seconds. A VM
+/// that learns from another VM that the service is back calls it sooner.
+const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
-/// The time between two questions to the VM that is followed, or, while the key-value service is away, to peers: a
-/// sixth of the two seconds within which a configuration is to be in force.
-const ASK_EVERY: Span = Span::from_millis(300);
+/// The time between two subscription messages to the upstream or, while the key-value service is away, to
+/// peers: a sixth of the two seconds within which a configuration must be in force.
+const SUBSCRIBE_INTERVAL: Span = Span::from_millis(300);
 
-/// The silence of the VM that is followed after which this VM follows another one.
-pub(crate) const SILENCE: Span = Span::from_millis(700);
+/// How long the upstream may be silent before this VM chooses another one.
+pub(crate) const UPSTREAM_TIMEOUT: Span = Span::from_millis(700);
 
-/// The silence of that other one after which this VM watches by itself: a question, and one more. With [`SILENCE`], the time
-/// between two looks at it and a call it makes a second and a half, of two seconds within which a configuration is to be in
-/// force.
-const SECOND_SILENCE: Span = Span::from_millis(400);
+/// How long that second upstream may be silent before this VM watches directly: enough for a subscription
+/// message and one repetition. [`UPSTREAM_TIMEOUT`], this time, the pause between two checks and one call take
+/// a second and a half together, of the two seconds within which a configuration must be in force.
+const SECOND_UPSTREAM_TIMEOUT: Span = Span::from_millis(400);
 
-/// How long this VM then watches by itself before it follows another VM again, and how long it does not follow one that was
-/// silent.
-const ALONE: Span = Span::from_secs(4);
+/// How long this VM then watches directly before it subscribes again, and how long it doesn't subscribe to a VM
+/// that was silent.
+const DIRECT_WATCH_DURATION: Span = Span::from_secs(4);
 
-/// How long the key-value service may be silent before peers are asked: two tries.
-const ASK_PEERS_AFTER: Span = Span::from_millis(400);
+/// How long the key-value service may be away before peers are queried: time for two calls.
+const PEER_QUERY_DELAY: Span = Span::from_millis(400);
 
-/// How the key-value service is followed.
+/// What this VM knows of the key-value service's availability, and how it receives the changes.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// The call in progress.
     pub(crate) op: Option<KvOperationId>,
-    /// The revision up to which all changes are known; none before a list.
+    /// The revision up to which all changes are known; none before the first list.
     pub(crate) cursor: Option<Revision>,
-    /// When it last answered this VM, or another one that told.
-    pub(crate) answered: Instant,
-    /// Since when it has not answered.
-    pub(crate) away: Option<Instant>,
-    /// When it answered again after it had been away.
-    pub(crate) back: Option<Instant>,
-    /// When to call it next, where no call is in progress.
-    pub(crate) next: Instant,
-    /// Calls in a row that failed.
+    /// When the key-value service last answered this VM, or another VM that reported it.
+    pub(crate) answered_at: Instant,
+    /// Since when the key-value service has not answered; none while it answers.
+    pub(crate) away_since: Option<Instant>,
+    /// When the key-value service last answered again after having been away.
+    pub(crate) back_at: Option<Instant>,
+    /// When to make the next call if none is in progress.
+    pub(crate) next_call: Instant,
+    /// The number of consecutive failed calls.
     pub(crate) failures: u32,
-    /// The VM that is followed.
-    pub(crate) leader: Option<Vm>,
-    /// When that VM was last heard.
-    pub(crate) heard: Instant,
-    /// How long it may be silent.
-    pub(crate) patience: Span,
-    /// Since when it is followed.
-    pub(crate) begun: Instant,
-    /// When the key-value service last answered it, by its own word.
-    pub(crate) vouched: Instant,
-    /// Those that were silent or could not reach the key-value service, and until when each is not followed again.
-    pub(crate) passed: exclusion::Exclusions,
-    /// Until when this VM watches by itself whatever its turn.
-    pub(crate) alone: Instant,
-    /// When the VM that is followed, or peers, are asked next.
-    pub(crate) ask: Instant,
-    /// VMs that follow this one, and until when they are told of changes.
-    pub(crate) followers: BTreeMap<Vm, Instant>,
+    /// The VM from which this VM receives changes; none while it watches directly.
+    pub(crate) upstream: Option<Vm>,
+    /// When the upstream was last heard.
+    pub(crate) upstream_heard_at: Instant,
+    /// How long the upstream may be silent.
+    pub(crate) upstream_timeout: Span,
+    /// When this VM chose the upstream.
+    pub(crate) upstream_since: Instant,
+    /// When the key-value service last answered the upstream, as the upstream reported it.
+    pub(crate) upstream_answered_at: Instant,
+    /// VMs that were silent or could not reach the key-value service, and are not chosen as upstream for a
+    /// while.
+    pub(crate) excluded: exclusion::Exclusions,
+    /// Until when this VM watches directly whatever its role.
+    pub(crate) direct_until: Instant,
+    /// When to send the next subscription message to the upstream or to a peer.
+    pub(crate) next_subscribe: Instant,
+    /// The VMs that receive changes from this one, each with the time at which its subscription ends.
+    pub(crate) subscribers: BTreeMap<Vm, Instant>,
 }
 
 impl Gateway {
@@ -95,76 +102,82 @@
         self.watch.op = Some(self.call_kv(KvOperation::List, out));
     }
 
-    /// The call in progress came back.
+    /// Handles the outcome of the list or watch in progress.
     pub(crate) fn handle_watch_outcome(&mut self, outcome: KvOutcome, out: &mut Effects) {
         self.watch.op = None;
         match outcome {
             KvOutcome::Listed(changes, revision) => {
-                self.store_back(self.now, out);
+                self.record_store_answer(self.now, out);
                 self.apply_list(changes, revision, out);
                 self.watch.cursor = Some(revision);
                 self.continue_watching(out);
             }
             KvOutcome::Watched(changes, revision) => {
-                self.store_back(self.now, out);
-                self.tell_followers(&changes, revision, out);
-                let recovering = self.recovering();
-                self.apply_changes(changes, Delivery::EveryChange, recovering, out);
+                self.record_store_answer(self.now, out);
+                self.send_watched_changes(&changes, revision, out);
+                let is_recovering = self.is_recovering();
+                self.apply_changes(changes, Delivery::EveryChange, is_recovering, out);
                 self.watch.cursor = Some(revision);
-                let gap = if self.watches() { WATCH_GAP } else { ALONE_GAP };
-                self.call_in(gap);
+                let gap = if self.is_watcher() {
+                    WATCH_PAUSE
+                } else {
+                    DIRECT_WATCH_PAUSE
+                };
+                self.schedule_call(gap);
             }
             KvOutcome::Compacted => {
                 self.watch.cursor = None;
                 Self::log(out, Code::StoreCompacted, "next=list".to_owned());
                 self.watch.op = Some(self.call_kv(KvOperation::List, out));
             }
-            other => self.store_away(&other, out),
+            other => self.record_store_failure(&other, out),
         }
     }
 
     pub(crate) fn handle_watch_timer(&mut self, out: &mut Effects) {
-        self.drop_lapsed(out);
-        match self.watch.leader {
-            Some(_) => self.keep_following(out),
-            None if self.watch.op.is_none() && self.now >= self.watch.next => {
+        self.remove_lapsed_servers(out);
+        match self.watch.upstream {
+            Some(_) => self.maintain_subscription(out),
+            None if self.watch.op.is_none() && self.now >= self.watch.next_call => {
                 self.continue_watching(out);
             }
             None => {}
         }
-        self.ask_peers(out);
+        self.query_peers(out);
     }
 
-    /// Whether entries may be missing only because the key-value service was away.
-    pub(crate) fn recovering(&self) -> bool {
+    /// Whether entries may be missing only because the key-value service is or was just away.
+    pub(crate) fn is_recovering(&self) -> bool {
         let grace = self.settings.tuning.lapse_grace;
-        let back = self.watch.back;
-        self.watch.away.is_some() || back.is_some_and(|at| self.now.since(at) < grace)
+        let back = self.watch.back_at;
+        self.watch.away_since.is_some() || back.is_some_and(|at| self.now.since(at) < grace)
     }
 
-    /// How long ago the key-value service last answered this VM, or one that told it so.
+    /// Returns the time since the key-value service last answered this VM, directly or through another VM.
     pub(crate) fn store_answer_age(&self) -> Span {
-        self.now.since(self.watch.answered)
+        self.now.since(self.watch.answered_at)
     }
 
-    /// Goes on: watches, or follows a VM that does.
+    /// Continues with the next watch, or subscribes to an upstream if this VM isn't a watcher.
     fn continue_watching(&mut self, out: &mut Effects) {
-        let leader = self.leader().filter(|_| self.watch.cursor.is_some());
-        if let Some(leader) = leader.filter(|_| self.now >= self.watch.alone) {
-            Self::log(out, Code::Following, format!("vm={leader}"));
-            self.watch.leader = Some(leader);
-            self.watch.begun = self.now;
-            self.watch.vouched = Instant::default();
-            self.watch.heard = self.now;
-            self.watch.patience = if self.passes_by() {
-                SECOND_SILENCE
+        let upstream = self
+            .choose_upstream()
+            .filter(|_| self.watch.cursor.is_some());
+        if let Some(upstream) = upstream.filter(|_| self.now >= self.watch.direct_until) {
+            Self::log(out, Code::Following, format!("vm={upstream}"));
+            self.watch.upstream = Some(upstream);
+            self.watch.upstream_since = self.now;
+            self.watch.upstream_answered_at = Instant::default();
+            self.watch.upstream_heard_at = self.now;
+            self.watch.upstream_timeout = if self.has_exclusions() {
+                SECOND_UPSTREAM_TIMEOUT
             } else {
-                SILENCE
+                UPSTREAM_TIMEOUT
             };
-            let silent = self.now + self.watch.patience;
+            let silent = self.now + self.watch.upstream_timeout;
             self.timers.set(silent, Timer::Watch);
-            self.watch.ask = self.now;
-            self.keep_following(out);
+            self.watch.next_subscribe = self.now;
+            self.maintain_subscription(out);
             return;
         }
         let wait = self.settings.tuning.watch;
@@ -175,148 +188,152 @@
         self.watch.op = Some(self.call_kv(op, out));
     }
 
-    /// Whether a VM was silent a moment ago.
-    fn is_passed(&self, vm: &Vm) -> bool {
-        self.watch.passed.contains(vm, self.now)
+    /// Whether a VM is excluded as upstream.
+    fn is_excluded(&self, vm: &Vm) -> bool {
+        self.watch.excluded.contains(vm, self.now)
     }
 
-    /// Whether any VM was.
-    fn passes_by(&self) -> bool {
-        !self.watch.passed.is_empty(self.now)
+    /// Whether any VM is excluded as upstream.
+    fn has_exclusions(&self) -> bool {
+        !self.watch.excluded.is_empty(self.now)
     }
 
-    /// Passes a VM by for a while.
-    fn pass_by(&mut self, vm: Vm) {
-        let until = self.now + ALONE;
-        self.watch.passed.add(vm, self.now, until);
+    /// Excludes a VM as upstream for [`DIRECT_WATCH_DURATION`].
+    fn exclude(&mut self, vm: Vm) {
+        let until = self.now + DIRECT_WATCH_DURATION;
+        self.watch.excluded.add(vm, self.now, until);
     }
 
-    /// The VM that this one follows: the one that tells its availability zone, or, where that is this one, one of those that watch for
-    /// all, by hashing. None where this VM is one of those.
-    fn leader(&self) -> Option<Vm> {
+    /// Returns the upstream of this VM: the relay of its availability zone or, if this VM is the relay, a
+    /// watcher chosen by rendezvous hashing. None if this VM is a watcher itself.
+    fn choose_upstream(&self) -> Option<Vm> {
         let me = &self.settings.vm;
         let watchers = self.watchers();
         if watchers.contains(&me) {
             return None;
         }
-        let relay = self.relay(|vm| !self.is_passed(vm));
+        let relay = self.relay(|vm| !self.is_excluded(vm));
         if relay != me {
             return Some(relay.clone());
         }
         let choice = watchers
             .into_iter()
-            .filter(|vm| !self.is_passed(vm))
+            .filter(|vm| !self.is_excluded(vm))
             .min_by_key(|vm| membership::rendezvous_score(&(me.as_str(), vm.as_str())));
         choice.cloned()
     }
 
-    /// Whether the key-value service has not answered the VM that is followed for long. One that watches for all is passed by as soon
-    /// as it says so; one that tells the zone may just be finding out, and has a moment.
-    fn is_stale(&self, leader: &Vm) -> bool {
-        let told = if self.watchers().contains(&leader) {
-            self.watch.heard > self.watch.begun
+    /// Whether the key-value service's last answer to the upstream is too old. A watcher counts as stale as
+    /// soon as it reports this; a relay may be about to find out that its own upstream is stale, and gets a
+    /// moment.
+    fn is_upstream_stale(&self, upstream: &Vm) -> bool {
+        let can_be_stale = if self.watchers().contains(&upstream) {
+            self.watch.upstream_heard_at > self.watch.upstream_since
         } else {
-            self.now.since(self.watch.begun) >= SECOND_SILENCE
+            self.now.since(self.watch.upstream_since) >= SECOND_UPSTREAM_TIMEOUT
         };
-        // Whoever has heard of an answer by another way, as by its own list at its start, waits so long for the one that it follows: after
-        // a start of all VMs those that come first would else each watch alone, and be sent all that servers rewrite.
-        let last = self.watch.vouched.max(self.watch.answered);
-        told && self.now >= last + self.fresh(leader)
+        // A VM that knows of a more recent answer by another way, such as its own list at its start, gives the
+        // upstream the same time from that answer on. Otherwise, after a start of all VMs, the first ones would
+        // all watch directly, and each would be sent every rewrite of the servers.
+        let last = self.watch.upstream_answered_at.max(self.watch.answered_at);
+        can_be_stale && self.now >= last + self.freshness_limit(upstream)
     }
 
-    /// Asks the VM that is followed again, unless it is silent, the key-value service has not answered it for long, or this VM's
-    /// turn has changed.
-    fn keep_following(&mut self, out: &mut Effects) {
-        let quiet = self.now.since(self.watch.heard) >= self.watch.patience;
-        let stale = self
+    /// Renews the subscription to the upstream if it is time to. Drops the upstream if it is silent or stale,
+    /// or if another one should be used since the roles have changed.
+    fn maintain_subscription(&mut self, out: &mut Effects) {
+        let is_silent = self.now.since(self.watch.upstream_heard_at) >= self.watch.upstream_timeout;
+        let is_stale = self
             .watch
-            .leader
+            .upstream
             .as_ref()
-            .is_some_and(|vm| self.is_stale(vm));
-        if quiet || stale || self.leader() != self.watch.leader {
-            let leader = self.watch.leader.take();
-            let detail = format!("vm={leader:?} silent={quiet} stale={stale}");
+            .is_some_and(|vm| self.is_upstream_stale(vm));
+        if is_silent || is_stale || self.choose_upstream() != self.watch.upstream {
+            let upstream = self.watch.upstream.take();
+            let detail = format!("vm={upstream:?} silent={is_silent} stale={is_stale}");
             Self::log(out, Code::FollowingEnded, detail);
-            if let Some(leader) = leader.filter(|_| quiet || stale) {
-                // One that watches for all and says that it gets no answers costs no time: others are asked as well.
-                let second = self.passes_by() && (quiet || !self.watchers().contains(&&leader));
-                if second {
-                    self.watch.alone = self.now + ALONE;
+            if let Some(upstream) = upstream.filter(|_| is_silent || is_stale) {
+                // A watcher that reports that it gets no answers cost no waiting time, so another watcher is
+                // tried even if a VM is already excluded.
+                let watch_directly =
+                    self.has_exclusions() && (is_silent || !self.watchers().contains(&&upstream));
+                if watch_directly {
+                    self.watch.direct_until = self.now + DIRECT_WATCH_DURATION;
                 }
-                self.pass_by(leader);
+                self.exclude(upstream);
             }
             self.continue_watching(out);
             return;
         }
-        if self.now >= self.watch.ask {
-            self.watch.ask = self.now + ASK_EVERY;
-            self.timers.set(self.watch.ask, Timer::Watch);
-            if let Some(leader) = self.watch.leader.clone() {
+        if self.now >= self.watch.next_subscribe {
+            self.watch.next_subscribe = self.now + SUBSCRIBE_INTERVAL;
+            self.timers.set(self.watch.next_subscribe, Timer::Watch);
+            if let Some(upstream) = self.watch.upstream.clone() {
                 let revision = self.watch.cursor.unwrap_or(0);
-                self.send(&leader, Message::Subscribe(self.member(), revision), out);
+                self.send(&upstream, Message::Subscribe(self.member(), revision), out);
             }
         }
     }
 
-    fn store_away(&mut self, outcome: &KvOutcome, out: &mut Effects) {
-        if self.watch.away.is_none() {
-            self.watch.away = Some(self.now);
-            self.watch.ask = self.now + ASK_PEERS_AFTER;
-            self.timers.set(self.watch.ask, Timer::Watch);
+    fn record_store_failure(&mut self, outcome: &KvOutcome, out: &mut Effects) {
+        if self.watch.away_since.is_none() {
+            self.watch.away_since = Some(self.now);
+            self.watch.next_subscribe = self.now + PEER_QUERY_DELAY;
+            self.timers.set(self.watch.next_subscribe, Timer::Watch);
             Self::log(out, Code::PlatformLost, format!("answer={outcome:?}"));
         }
-        let pause = if self.watches() {
+        let pause = if self.is_watcher() {
             self.settings.tuning.store_retry
         } else {
-            let least = ALONE_GAP.times(1 << self.watch.failures.min(DOUBLINGS));
+            let least = DIRECT_WATCH_PAUSE.times(1 << self.watch.failures.min(MAX_PAUSE_DOUBLINGS));
             Span(self.rng.random_range(least.0..least.times(2).0))
         };
         self.watch.failures += 1;
-        self.call_in(pause);
+        self.schedule_call(pause);
     }
 
-    /// Has the next call of the key-value service come after a pause.
-    pub(crate) fn call_in(&mut self, pause: Span) {
-        self.watch.next = self.now + pause;
-        self.timers.set(self.watch.next, Timer::Watch);
+    /// Schedules the next call of the key-value service after a pause.
+    pub(crate) fn schedule_call(&mut self, pause: Span) {
+        self.watch.next_call = self.now + pause;
+        self.timers.set(self.watch.next_call, Timer::Watch);
     }
 
-    /// The key-value service answered this VM, or the one that it follows, at a time.
-    pub(crate) fn store_back(&mut self, at: Instant, out: &mut Effects) {
-        self.watch.answered = self.watch.answered.max(at);
+    /// Records that the key-value service answered this VM or its upstream at a time.
+    pub(crate) fn record_store_answer(&mut self, at: Instant, out: &mut Effects) {
+        self.watch.answered_at = self.watch.answered_at.max(at);
         self.watch.failures = 0;
-        if let Some(since) = self.watch.away.take() {
-            self.watch.back = Some(self.now);
+        if let Some(since) = self.watch.away_since.take() {
+            self.watch.back_at = Some(self.now);
             let away = self.now.since(since);
             Self::log(out, Code::PlatformBack, format!("away={away}"));
-            self.registration_back();
+            self.retry_registration();
         }
     }
 
-    fn ask_peers(&mut self, out: &mut Effects) {
-        if self.watch.away.is_none() || self.now < self.watch.ask {
+    fn query_peers(&mut self, out: &mut Effects) {
+        if self.watch.away_since.is_none() || self.now < self.watch.next_subscribe {
             return;
         }
-        let question = Message::Subscribe(self.member(), self.watch.cursor.unwrap_or(0));
+        let query = Message::Subscribe(self.member(), self.watch.cursor.unwrap_or(0));
         let peers: Vec<Vm> = self.peers().cloned().collect();
         if peers.is_empty() {
-            self.ask_a_seed(question, out);
+            self.query_seed(query, out);
         } else {
             let peer = &peers[self.rng.random_range(0..peers.len())];
-            self.send(peer, question, out);
+            self.send(peer, query, out);
         }
-        self.watch.ask = self.now + ASK_EVERY;
-        self.timers.set(self.watch.ask, Timer::Watch);
+        self.watch.next_subscribe = self.now + SUBSCRIBE_INTERVAL;
+        self.timers.set(self.watch.next_subscribe, Timer::Watch);
     }
 
-    /// Asks one of the VMs that the settings name: nobody was ever heard of, and they may be there.
-    fn ask_a_seed(&mut self, question: Message, out: &mut Effects) {
+    /// Queries one of the addresses in the settings: no other VM is known, and one may be found there.
+    fn query_seed(&mut self, query: Message, out: &mut Effects) {
         let own = self.settings.address;
         let seeds = self.settings.seeds.iter().filter(|seed| **seed != own);
         let seeds: Vec<SocketAddr> = seeds.copied().collect();
         if !seeds.is_empty() {
             let seed = seeds[self.rng.random_range(0..seeds.len())];
-            out.push(Effect::SendMessage(seed, Locality::CrossZone, question));
+            out.push(Effect::SendMessage(seed, Locality::CrossZone, query));
         }
     }
 }
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -1,7 +1,8 @@
-//! Who reads the key-value service, and how the others hear of its changes.
+//! Tests of watching the key-value service: which VMs watch it directly, and how the others receive its
+//! changes.
 //!
-//! The load is that of a calm day at the larger deployments: servers rewrite their entries several times a second, and
-//! each VM that watches by itself would make a call for each.
+//! Servers rewrite their entries several times a second, as on a day without faults in the larger deployments,
+//! and a VM that watches directly may make a call for each rewrite.
 
 mod support;
 
@@ -13,8 +14,8 @@
 use support::World;
 use support::setup::{config, name};
 
-/// Servers rewrite their entries every 50 ms for a while.
-fn churn(world: &mut World, span: Span) {
+/// Runs for `span` while servers rewrite their entries every 50 ms.
+fn run_with_rewrites(world: &mut World, span: Span) {
     let step = Span::from_millis(50);
     for at in 0..span.0 / step.0 {
         let id = name(&format!("e{}", at % 4));
@@ -30,40 +31,40 @@
 }
 
 fn versions(world: &World) -> Vec<u64> {
-    let gateways = world.vms.iter().filter_map(|host| host.gateway.as_ref());
+    let gateways = world.vms.iter().filter_map(|vm| vm.gateway.as_ref());
     gateways
         .map(dahliastile_gateway::Gateway::config_version)
         .collect()
 }
 
-fn calm(vms: usize) -> World {
+fn settled_world(vms: usize) -> World {
     let mut world = World::new(vms, 4, 1);
     world.run(Span::from_secs(2));
-    churn(&mut world, Span::from_secs(1));
+    run_with_rewrites(&mut world, Span::from_secs(1));
     world
 }
 
 #[test]
 fn watch_byfew() {
-    let mut world = calm(12);
+    let mut world = settled_world(12);
     world.store.watched_by.clear();
-    churn(&mut world, Span::from_secs(5));
+    run_with_rewrites(&mut world, Span::from_secs(5));
     assert!(
         world.store.watched_by.len() <= 3,
         "{:?}",
         world.store.watched_by
     );
     world.configure(config(7));
-    // The pause between two watches, and some.
+    // The pause between two watches, with a margin.
     world.run(Span::from_millis(250));
     assert_eq!(versions(&world), vec![7; 12]);
 }
 
 #[test]
 fn watchers_killedarereplaced() {
-    let mut world = calm(12);
+    let mut world = settled_world(12);
     world.store.watched_by.clear();
-    churn(&mut world, Span::from_secs(2));
+    run_with_rewrites(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in watchers {
         world.kill(vm, true);
@@ -76,9 +77,9 @@
 
 #[test]
 fn watchers_frozenarereplaced() {
-    let mut world = calm(12);
+    let mut world = settled_world(12);
     world.store.watched_by.clear();
-    churn(&mut world, Span::from_secs(2));
+    run_with_rewrites(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
         world.freeze(*vm, Span::from_secs(6));
@@ -94,12 +95,13 @@
     assert_eq!(versions(&world), vec![9; 12]);
 }
 
-/// The key-value service turns away all that watch it: the others read it themselves, and tell them.
+/// The key-value service refuses the calls of all watchers: the other VMs watch it directly, and send the
+/// changes to the watchers.
 #[test]
 fn watchers_turnedawayhear() {
-    let mut world = calm(12);
+    let mut world = settled_world(12);
     world.store.watched_by.clear();
-    churn(&mut world, Span::from_secs(2));
+    run_with_rewrites(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
         world.vms[*vm].store_reachable = false;
@@ -110,10 +112,11 @@
     assert_eq!(versions(&world), vec![9; 12]);
 }
 
-/// Every entry lapses while the service is away: nobody takes the servers for gone before they could come back.
+/// Every entry expires while the key-value service is away: no VM removes the servers before they could write
+/// their entries again.
 #[test]
 fn entries_lapsedarewaitedfor() {
-    let mut world = calm(12);
+    let mut world = settled_world(12);
     world.store_up = false;
     world.wake_watchers();
     world.run(Span::from_secs(3));
@@ -122,11 +125,11 @@
     }
     world.store_up = true;
     world.run(Span::from_millis(900));
-    let asked: Vec<u64> = (0..12)
+    let numbers: Vec<u64> = (0..12)
         .map(|vm| world.send_request(vm, support::setup::request("q", "/query/x", 2_000, None)))
         .collect();
     world.run(Span::from_millis(300));
-    for number in asked {
+    for number in numbers {
         assert!(matches!(
             world.answer(number),
             Some(support::Answer::Served(_))
@@ -134,13 +137,13 @@
     }
 }
 
-/// The key-value service leaves the calls of all that watch it without an answer, also the watches in progress: the
-/// others must not take their silence for news of no change.
+/// The key-value service doesn't answer the watchers' calls, including the watches in progress: the other VMs
+/// must not take the watchers' silence to mean that nothing has changed.
 #[test]
 fn watchers_unansweredarereplaced() {
-    let mut world = calm(12);
+    let mut world = settled_world(12);
     world.store.watched_by.clear();
-    churn(&mut world, Span::from_secs(2));
+    run_with_rewrites(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
         world.vms[*vm].store_silent = true;
@@ -154,104 +157,108 @@
     assert!(others >= 9, "{others} of 9");
 }
 
-/// What engines hold and how many orders they took is rewritten all the time, in entries that are else the same: the calls of
-/// the VMs that watch don't grow with it (a call each 200 ms and its answer, by three VMs), and the VMs that follow are not told of it at all.
+/// Servers keep rewriting entries that differ only in resident adapters and counts of accepted orders. The
+/// calls of the watchers don't grow with the rewrites (three VMs make a call each 200 ms and its answer), and
+/// subscribers receive nothing.
 #[test]
 fn watch_ofchurnisbounded() {
-    let mut world = calm(12);
+    let mut world = settled_world(12);
     let calls = world.store.calls;
     let sent = world.messages;
     let step = Span::from_millis(10);
     for at in 0..500_u64 {
         let id = name(&format!("e{}", at % 4));
-        let fact = EntryValue::Server(world.servers[&id].1.clone());
-        world.store.put(EntryKey::Server(id), fact, 0);
+        let value = EntryValue::Server(world.servers[&id].1.clone());
+        world.store.put(EntryKey::Server(id), value, 0);
         world.wake_watchers();
         world.run(step);
     }
-    // The renewals of each VM's entry and of the leadership come on top.
+    // The renewals of each VM's entry and of the leadership's lease are added.
     let calls = world.store.calls - calls;
     assert!(calls <= 3 * 5_000 / 200 + 12 * 2 + 10 + 10, "{calls} calls");
-    // Each VM that follows asks and is answered each 300 ms, and the scheduler speaks to all five times a second.
+    // Each subscriber sends a message and is answered every 300 ms, and the scheduler sends to all VMs five
+    // times a second.
     let sent = world.messages - sent;
     assert!(sent <= 2 * 9 * 17 + 11 * 5 * 6, "{sent} messages");
     world.check_invariants();
 }
 
-/// Where one of the VMs that watch for all stands still, those that followed it follow another one: with 300 VMs, a hundred
-/// that watch by themselves would each be sent all that 3,000 servers rewrite. What is configured then is in force in two
-/// seconds all the same.
+/// When a watcher freezes, its subscribers choose another upstream instead of watching directly: with 300 VMs,
+/// a hundred VMs that watch directly would each be sent every rewrite of 3,000 servers. A configuration written
+/// meanwhile is in force within two seconds all the same.
 #[test]
 fn watcher_frozenisfollowedbyanother() {
-    let mut world = calm(24);
+    let mut world = settled_world(24);
     world.store.watched_by.clear();
-    churn(&mut world, Span::from_secs(2));
+    run_with_rewrites(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for frozen in watchers {
         world.freeze(frozen, Span::from_millis(2_500));
         world.store.watched_by.clear();
         world.configure(config(10 + frozen as u64));
-        churn(&mut world, Span::from_secs(2));
+        run_with_rewrites(&mut world, Span::from_secs(2));
         let versions = versions(&world);
         let behind = versions.iter().filter(|v| **v != 10 + frozen as u64);
         assert!(behind.count() <= 1, "{versions:?}");
-        let watch = world.store.watched_by.len();
-        assert!(watch <= 4, "{watch} watch");
-        churn(&mut world, Span::from_secs(4));
+        let watching = world.store.watched_by.len();
+        assert!(watching <= 4, "{watching} VMs watch");
+        run_with_rewrites(&mut world, Span::from_secs(4));
     }
     world.check_invariants();
 }
 
-/// The key-value service cuts the watches of the VMs that watch for all and answers none of their calls, so that all others
-/// watch by themselves, then goes away and comes back: those others call it about twice a second each, and it is not met
-/// by all VMs at once again and again.
+/// The key-value service cuts the watchers' watches and answers none of their calls, so that all other VMs
+/// watch directly; then it goes away and comes back. The VMs that watch directly each call it about twice a
+/// second, and don't repeatedly call it all at once.
 #[test]
 fn watch_alonecallslittle() {
-    let mut world = calm(24);
+    let mut world = settled_world(24);
     world.store.watched_by.clear();
-    churn(&mut world, Span::from_secs(2));
+    run_with_rewrites(&mut world, Span::from_secs(2));
     let watchers: Vec<usize> = world.store.watched_by.iter().copied().collect();
     for vm in &watchers {
         world.vms[*vm].store_silent = true;
     }
     let calls = world.store.calls;
-    churn(&mut world, Span::from_secs(4));
+    run_with_rewrites(&mut world, Span::from_secs(4));
     world.store_up = false;
     world.wake_watchers();
-    churn(&mut world, Span::from_secs(2));
+    run_with_rewrites(&mut world, Span::from_secs(2));
     world.store_up = true;
-    churn(&mut world, Span::from_secs(4));
+    run_with_rewrites(&mut world, Span::from_secs(4));
     let calls = world.store.calls - calls;
-    // 21 VMs alone for ten seconds, each with a call in 400 ms and two renewals a second, and some lists and entries.
+    // 21 VMs watch directly for ten seconds, with a call every 400 ms and two renewals a second each, and some
+    // lists and writes of entries.
     let most = 21 * (25 + 20 + 10);
     assert!(calls <= most, "{calls} calls");
     world.check_invariants();
 }
 
-/// A configuration that is written right after an outage, while some VMs watch, some follow, and each hears of it by another
-/// way: whoever passes changes on must not leave out what it heard of by another way, as the others then believe that they
-/// know all up to there.
+/// A configuration is written right after an outage, while some VMs watch and others subscribe, and each
+/// receives it by another way. A VM that sends changes on must include those that it received by another way,
+/// because its subscribers then assume that they know all changes up to that revision.
 #[test]
-fn news_afteroutagereachesall() {
+fn config_afteroutagereachesall() {
     for round in 0..40_u64 {
-        let mut world = calm(24);
+        let mut world = settled_world(24);
         world.store_up = false;
         world.wake_watchers();
         world.run(Span::from_millis(4_500 + 37 * round));
         world.store_up = true;
-        churn(&mut world, Span::from_millis(50 * (round % 20)));
+        run_with_rewrites(&mut world, Span::from_millis(50 * (round % 20)));
         world.run(Span::from_millis(round * 7 % 50));
         world.configure(config(9));
-        churn(&mut world, Span::from_secs(3));
+        run_with_rewrites(&mut world, Span::from_secs(3));
         assert_eq!(versions(&world), vec![9; 24], "round {round}");
     }
 }
 
-/// What a VM was told before its own watch showed it is still news for those that follow it, and so is an entry that was
-/// told, since told entries may skip changes; an entry whose watched changes are alike is not.
+/// A change that a VM received before its own watch showed it is still relevant to its subscribers. So is a
+/// change of an entry of which only the latest change was received, since earlier ones may be missing. A
+/// watched change that doesn't alter the value is not relevant.
 #[test]
 fn news_toldearlierispassedon() {
-    let world = calm(1);
+    let world = settled_world(1);
     let (key, value) = (EntryKey::Config, EntryValue::Config(Arc::new(config(9))));
     let config = Change {
         key,
@@ -259,14 +266,17 @@
         created: 5,
         value: Some(value),
     };
-    let mut table = Snapshot::default();
-    assert!(table.is_change(&config, 4));
-    assert!(table.apply(config.clone(), Delivery::LatestOnly));
+    let mut snapshot = Snapshot::default();
+    assert!(snapshot.is_relevant(&config, 4));
+    assert!(snapshot.apply(config.clone(), Delivery::LatestOnly));
     assert!(
-        table.is_change(&config, 4),
-        "the followers know all up to 4"
+        snapshot.is_relevant(&config, 4),
+        "the subscribers know all changes up to 4"
+    );
+    assert!(
+        !snapshot.is_relevant(&config, 5),
+        "the subscribers know it already"
     );
-    assert!(!table.is_change(&config, 5), "they know it already");
     let entry = |revision: u64, ready: bool| {
         let mut backend = (*world.servers[&name::<Server>("e0")].1).clone();
         backend.ready = ready;
@@ -277,54 +287,58 @@
             value: Some(EntryValue::Server(Arc::new(backend))),
         }
     };
-    assert!(table.apply(entry(6, true), Delivery::EveryChange));
-    assert!(!table.is_change(&entry(7, true), 6));
-    assert!(table.is_change(&entry(7, false), 6));
-    assert!(table.apply(entry(8, true), Delivery::LatestOnly));
-    assert_eq!(table.after(6).count(), 1, "an entry of before may differ");
-    assert!(table.apply(entry(9, true), Delivery::EveryChange));
-    assert_eq!(table.after(8).count(), 0);
+    assert!(snapshot.apply(entry(6, true), Delivery::EveryChange));
+    assert!(!snapshot.is_relevant(&entry(7, true), 6));
+    assert!(snapshot.is_relevant(&entry(7, false), 6));
+    assert!(snapshot.apply(entry(8, true), Delivery::LatestOnly));
+    assert_eq!(
+        snapshot.changes_after(6).count(),
+        1,
+        "an earlier change of the entry may be missing"
+    );
+    assert!(snapshot.apply(entry(9, true), Delivery::EveryChange));
+    assert_eq!(snapshot.changes_after(8).count(), 0);
 }
 
-/// Whether each VM has a plain request served.
+/// Returns whether a request to each VM that needs no adapter is served.
 fn all_serve(world: &mut World) -> bool {
     let vms = 0..world.vms.len();
-    let asked: Vec<u64> = vms
+    let numbers: Vec<u64> = vms
         .map(|vm| world.send_request(vm, support::setup::request("q", "/query/x", 2_000, None)))
         .collect();
     world.run(Span::from_millis(400));
-    world.count_served(&asked) == asked.len()
+    world.count_served(&numbers) == numbers.len()
 }
 
-/// A server's entry goes and is there again as it was, both between two watches: VMs that follow hear of both, or they take the
-/// server for gone until its entry says something else.
+/// A server's entry is deleted and written again with the same value between two watches. Subscribers must
+/// receive both changes; otherwise they treat the server as gone until the entry's value changes.
 #[test]
 fn entry_goneandbackatonceisknown() {
-    let mut world = calm(12);
-    let (subject, back) = (
+    let mut world = settled_world(12);
+    let (key, backend) = (
         EntryKey::Server(name("p0")),
         world.servers[&name::<Server>("p0")].1.clone(),
     );
-    // One such pair falls into a pause of each watcher.
+    // At least one of these pairs falls into a pause of each watcher.
     for _ in 0..8 {
-        world.store.remove(&subject);
+        world.store.remove(&key);
         world
             .store
-            .put(subject.clone(), EntryValue::Server(back.clone()), 0);
+            .put(key.clone(), EntryValue::Server(backend.clone()), 0);
         world.wake_watchers();
-        churn(&mut world, Span::from_millis(100));
+        run_with_rewrites(&mut world, Span::from_millis(100));
     }
     world.run(Span::from_secs(1));
     assert!(all_serve(&mut world));
     world.check_invariants();
 }
 
-/// All entries lapse in an outage, and servers write theirs again a second after it, as they were: nobody takes them for gone
-/// after the two seconds that they have.
+/// All entries expire in an outage, and servers write the same values again up to 1.3 s after it: no VM removes
+/// the servers when their grace period of two seconds ends.
 #[test]
 fn entries_lapsedandbackareknown() {
-    for back in [100, 700, 1_300] {
-        let mut world = calm(12);
+    for back_after in [100, 700, 1_300] {
+        let mut world = settled_world(12);
         world.store_up = false;
         world.wake_watchers();
         world.run(Span::from_secs(4));
@@ -333,21 +347,21 @@
             world.store.remove(&EntryKey::Server(name(server)));
         }
         world.store_up = true;
-        world.run(Span::from_millis(back));
+        world.run(Span::from_millis(back_after));
         for server in ids {
             world.rewrite_server_entry(server);
         }
         world.run(Span::from_secs(4));
-        assert!(all_serve(&mut world), "back after {back} ms");
+        assert!(all_serve(&mut world), "back after {back_after} ms");
         world.check_invariants();
     }
 }
 
-/// VMs that follow each other are told of entries that are newer and else the same, as after a start of all, when each has listed them
-/// at another time: nobody passes those on.
+/// VMs that subscribe to each other receive entries with a newer revision and the same value, as after a start
+/// of all VMs, each of which has listed the entries at another time. None of these changes is sent on.
 #[test]
-fn news_thatisonlynewerisnotpassedon() {
-    let world = calm(1);
+fn change_ofrevisiononlyisnotsenton() {
+    let world = settled_world(1);
     let backend = world.servers[&name::<Server>("e0")].1.clone();
     let entry = |revision: u64| Change {
         key: EntryKey::Server(name("e0")),
@@ -355,22 +369,22 @@
         created: 1,
         value: Some(EntryValue::Server(backend.clone())),
     };
-    let mut table = Snapshot::default();
-    assert!(table.differs(&entry(5)), "it is not known");
-    assert!(table.apply(entry(5), Delivery::LatestOnly));
-    assert!(!table.differs(&entry(6)));
+    let mut snapshot = Snapshot::default();
+    assert!(snapshot.is_new_value(&entry(5)), "the entry is not known");
+    assert!(snapshot.apply(entry(5), Delivery::LatestOnly));
+    assert!(!snapshot.is_new_value(&entry(6)));
     let gone = Change {
         value: None,
         ..entry(7)
     };
-    assert!(table.differs(&gone));
+    assert!(snapshot.is_new_value(&gone));
     assert!(
-        !table.differs(&Change {
+        !snapshot.is_new_value(&Change {
             revision: 4,
             ..gone
         }),
-        "it is older"
+        "the change is older"
     );
-    table.lapse(&EntryKey::Server(name("e0")));
-    assert!(table.differs(&entry(8)), "it is back");
+    snapshot.mark_lapsed(&EntryKey::Server(name("e0")));
+    assert!(snapshot.is_new_value(&entry(8)), "the entry is back");
 }
