--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -1,6 +1,7 @@
-//! The scheduler's leadership under trouble: its VM is killed, stopped, frozen, cut off, or loses only the key-value service.
+//! Tests of the scheduler's leadership under faults: its VM is killed, stopped, frozen, cut off, or loses only
+//! the key-value service.
 //!
-//! The load in these tests is that of a quiet night: a request every 40 ms over a few warm adapters and some cold ones.
+//! The load is light: a request every 40 ms over a few resident adapters and some that must be loaded.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use support::World;
 use support::setup::{ENGINES, name, request, work};
 
-fn warm() -> World {
+fn warm_world() -> World {
     let mut world = World::new(4, 4, 1);
     world.run(Span::from_secs(2));
     world.send_light_load(Span::from_secs(2));
@@ -20,28 +21,28 @@
 
 #[test]
 fn holder_isone() {
-    let world = warm();
+    let world = warm_world();
     assert!(world.holder().is_some());
     world.check_invariants();
 }
 
 #[test]
 fn holder_killedisreplaced() {
-    let mut world = warm();
+    let mut world = warm_world();
     let old = world.holder().expect("a holder");
     world.kill(old, true);
     let numbers = world.send_light_load(Span::from_secs(6));
     let new = world.holder().expect("a holder");
     assert_ne!(old, new);
     world.run(Span::from_secs(5));
-    let (all, good) = (numbers.len(), world.count_served(&numbers));
-    assert!(good * 100 >= all * 97, "{good} of {all}");
+    let (all, served) = (numbers.len(), world.count_served(&numbers));
+    assert!(served * 100 >= all * 97, "{served} of {all}");
     world.check_invariants();
 }
 
 #[test]
 fn holder_killedcoldwaitsbriefly() {
-    let mut world = warm();
+    let mut world = warm_world();
     let old = world.holder().expect("a holder");
     world.kill(old, true);
     let vm = (old + 1) % 4;
@@ -51,14 +52,14 @@
     );
     world.run(Span::from_secs(8));
     let first = world.time_to_first_chunk(cold).expect("served");
-    // The lease of 2 s, the gap between candidates, and the load.
+    // The sum of the lease of 2 s, the gap between candidates, and the loading of the adapter.
     assert!(first < Span::from_millis(3_000), "{first}");
     world.check_invariants();
 }
 
 #[test]
 fn holder_stoppedhandsover() {
-    let mut world = warm();
+    let mut world = warm_world();
     let old = world.holder().expect("a holder");
     world.stop(old);
     world.run(Span::from_millis(700));
@@ -76,7 +77,7 @@
 
 #[test]
 fn holder_frozenordersnothinglater() {
-    let mut world = warm();
+    let mut world = warm_world();
     let old = world.holder().expect("a holder");
     world.freeze(old, Span::from_secs(5));
     let numbers = world.send_light_load(Span::from_secs(9));
@@ -92,7 +93,7 @@
 
 #[test]
 fn holder_cutofffromstoreyields() {
-    let mut world = warm();
+    let mut world = warm_world();
     let old = world.holder().expect("a holder");
     world.vms[old].store_reachable = false;
     world.wake_watchers();
@@ -105,7 +106,7 @@
 
 #[test]
 fn store_awayservesontheoldnumber() {
-    let mut world = warm();
+    let mut world = warm_world();
     let old = world.holder();
     world.store_up = false;
     world.wake_watchers();
@@ -123,12 +124,13 @@
     world.check_invariants();
 }
 
-/// Without the key-value service and without a holder a VM still serves the adapters of its own last requests, also one that
-/// no digest has told of yet: digests come each second and tell of some engines.
+/// Without the key-value service and without a holder, a VM still serves the adapters of its own recent
+/// requests, including an adapter that no digest has reported yet: a digest is sent each second and covers only
+/// some engines.
 #[test]
 fn holder_gonewithstoreservesitsown() {
     for offset in [100, 400, 700, 1_000] {
-        let mut world = warm();
+        let mut world = warm_world();
         world.store_up = false;
         world.wake_watchers();
         let old = world.holder().expect("a holder");
@@ -152,7 +154,7 @@
 
 #[test]
 fn all_killedcomeback() {
-    let mut world = warm();
+    let mut world = warm_world();
     for vm in 0..4 {
         world.kill(vm, false);
     }
@@ -163,10 +165,10 @@
     world.check_invariants();
 }
 
-/// The key-value service turns one VM away and takes its keys: the others must still reach it.
+/// The key-value service refuses one VM's calls and deletes its entries: the other VMs must still reach it.
 #[test]
 fn vm_revokedisstillserved() {
-    let mut world = warm();
+    let mut world = warm_world();
     let vm = (world.holder().expect("a holder") + 1) % 4;
     world.revoke(vm);
     let numbers = world.send_light_load(Span::from_secs(5));
@@ -187,7 +189,7 @@
 /// The same for the scheduler's own VM.
 #[test]
 fn holder_revokedisreplacedandserved() {
-    let mut world = warm();
+    let mut world = warm_world();
     let vm = world.holder().expect("a holder");
     world.revoke(vm);
     let numbers = world.send_light_load(Span::from_secs(5));
@@ -201,11 +203,11 @@
     world.check_invariants();
 }
 
-/// All processes are killed and start again: the old holder's key is still there, and waiting for its lease to end would
-/// leave cold requests without a scheduler for two seconds.
+/// All processes are killed and start again. The old holder's entry still exists, and waiting for its lease to
+/// end would leave requests for adapters that are not resident without a scheduler for two seconds.
 #[test]
 fn all_killedscheduleagainatonce() {
-    let mut world = warm();
+    let mut world = warm_world();
     for vm in 0..4 {
         world.kill(vm, false);
     }
@@ -220,11 +222,11 @@
     world.check_invariants();
 }
 
-/// The holder's VM is gone without a word: its silence is noticed before its lease ends, and since engines check fencing
-/// numbers another VM takes the leadership at once.
+/// The holder's VM freezes. Its silence is noticed before its lease ends, and since engines check fencing
+/// tokens another VM takes the leadership at once.
 #[test]
 fn holder_gonecoldwaitsonesecond() {
-    let mut world = warm();
+    let mut world = warm_world();
     let old = world.holder().expect("a holder");
     world.freeze(old, Span::from_secs(30));
     let vm = (old + 1) % 4;
@@ -238,8 +240,9 @@
     world.check_invariants();
 }
 
-/// The others hear of a new holder before it does: its answers from the key-value service are late. What they ask it
-/// meanwhile must not be lost. The order of candidates decides who holds, so each VM is the late one once.
+/// Other VMs learn of a new holder before the holder itself, since its answers from the key-value service are
+/// late. Their requests to it in the meantime must not be lost. The order of candidates decides which VM holds
+/// the leadership, so each VM is the late one once.
 #[test]
 fn holder_lateknowslosesnothing() {
     let mut late_held = 0;
@@ -263,14 +266,15 @@
     assert!(late_held > 0);
 }
 
-/// A leadership that is taken away from one VM and right afterwards from the next, as when small VMs lose their leases under load:
-/// no VM holds it again within three seconds of having lost it, so that its orders and another's don't come in turn.
+/// The leadership is taken away from one VM and soon afterwards from the next one, as when small VMs lose their
+/// leases under load. No VM holds it again within three seconds of losing it, so that orders of two VMs don't
+/// alternate.
 #[test]
 fn holder_restsbeforeitholdsagain() {
-    let mut world = warm();
-    // The time in ms at which each VM last held it, and who held it last.
-    let mut held: Vec<Option<u64>> = vec![None; world.vms.len()];
-    let mut last = world.holder();
+    let mut world = warm_world();
+    // The time in ms at which each VM last held the leadership, and the VM that held it last.
+    let mut last_held: Vec<Option<u64>> = vec![None; world.vms.len()];
+    let mut last_holder = world.holder();
     let mut changes = 0;
     for step in 0..500_u64 {
         let holder = world.holder();
@@ -278,10 +282,11 @@
             world
                 .vms
                 .iter_mut()
-                .for_each(|host| host.store_reachable = true);
+                .for_each(|vm| vm.store_reachable = true);
         }
         if step % 20 == 0 && step < 200 {
-            // Its way to the key-value service is cut for a moment, so that another VM takes the leadership.
+            // Cuts the holder off from the key-value service for a moment, so that another VM takes the
+            // leadership.
             if let Some(vm) = holder {
                 world.vms[vm].store_reachable = false;
             }
@@ -292,21 +297,21 @@
         let Some(vm) = world.holder() else {
             continue;
         };
-        if last != Some(vm) {
+        if last_holder != Some(vm) {
             changes += 1;
-            let rest = held[vm].map_or(u64::MAX, |at| step * 40 - at);
-            assert!(rest >= 3_000, "vm{vm} holds again after {rest} ms");
+            let pause = last_held[vm].map_or(u64::MAX, |at| step * 40 - at);
+            assert!(pause >= 3_000, "vm{vm} holds again after {pause} ms");
         }
-        held[vm] = Some(step * 40);
-        last = Some(vm);
+        last_held[vm] = Some(step * 40);
+        last_holder = Some(vm);
     }
     assert!(changes >= 3, "{changes} changes");
-    assert!(last.is_some());
+    assert!(last_holder.is_some());
     world.check_invariants();
 }
 
-/// VMs of the larger deployments have from an eighth of a core and 10 Mbit/s up: a strong one schedules, at the start and
-/// after each loss, and strong ones watch the key-value service for the others.
+/// VMs of the larger deployments start at an eighth of a core and 10 Mbit/s. A strong one schedules, both at
+/// the start and after each loss, and strong ones watch the key-value service for the others.
 #[test]
 fn holder_isthestrongestthere() {
     let strengths = [12, 10, 25, 12, 50, 10, 25, 12];
@@ -325,12 +330,13 @@
     world.check_invariants();
 }
 
-/// A VM is killed with requests at engines and starts again. It hears the scheduler before it knows where that one is, since its list
-/// of the key-value service comes late: the scheduler learns all the same that nothing of before runs there. Else what its
-/// requests had still to read counted at their engines until the end of the entry's lease, sixteen seconds.
+/// A VM is killed with requests running at engines, and starts again. It receives messages of the scheduler
+/// before it knows the scheduler's address, since its list of the key-value service is delayed. The scheduler
+/// must still learn that none of the earlier requests runs. Otherwise the unread prompts of those requests
+/// counted at their engines until the lease of the VM's entry ended, after 16 seconds.
 #[test]
 fn vm_restartedtellsthatnothingruns() {
-    let mut world = warm();
+    let mut world = warm_world();
     let vm = (world.holder().expect("a holder") + 1) % 4;
     for at in 0..6 {
         let long = work(&format!("a{at}"), 600, 4_000);
@@ -347,7 +353,7 @@
     world.run(Span::from_secs(3));
     let states = world.log_lines.iter().rev();
     let mut states = states.filter(|line| line.contains("SchedulerState"));
-    let last = states.next().expect("a line each second");
-    assert!(last.contains(" running=0 unread=0 "), "{last}");
+    let last_line = states.next().expect("a line each second");
+    assert!(last_line.contains(" running=0 unread=0 "), "{last_line}");
     world.check_invariants();
 }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -1,7 +1,7 @@
-//! Engines that don't check fencing numbers: one VM schedules at a time, whatever happens to the key-value service and to the
-//! VMs.
+//! Tests with engines that don't check fencing tokens: at most one VM schedules at a time, whatever faults the
+//! key-value service and the VMs have.
 //!
-//! The load is that of a quiet night and cold requests besides.
+//! The load is light, with additional requests for adapters that are not resident.
 
 mod support;
 
@@ -13,8 +13,8 @@
 use support::World;
 use support::setup::{ENGINES, adapter_request, config, name, request, work};
 
-/// A fleet at engines that don't check fencing numbers.
-fn unfenced() -> World {
+/// Returns VMs with engines that don't check fencing tokens.
+fn unfenced_world() -> World {
     let tuning = Tuning {
         fencing: false,
         ..Tuning::default()
@@ -25,8 +25,8 @@
     world
 }
 
-/// Once an engine has taken an order of one holder, it takes none of the holder before.
-fn one_at_a_time(world: &World) {
+/// Asserts that no engine accepted an order of an earlier holder after one of a later holder.
+fn assert_one_holder_at_a_time(world: &World) {
     for (engine, _) in world.servers.values() {
         let fences: Vec<u64> = engine
             .accepted_fences
@@ -48,8 +48,8 @@
     }
 }
 
-/// Cold requests at all VMs, every 25 ms at each, so often.
-fn cold_everywhere(world: &mut World, times: usize) {
+/// Sends a request for another adapter that is not resident to each VM every 25 ms, for `times` times 100 ms.
+fn send_cold_requests(world: &mut World, times: usize) {
     for at in 0..times * 4 {
         for vm in 0..world.vms.len() {
             world.send_request(
@@ -61,12 +61,11 @@
     }
 }
 
-/// Engines that don't check fencing numbers: nobody takes the leadership before the lease has ended, and the old holder stops
-/// before that.
+/// No VM takes the leadership before the lease has ended, and the old holder stops before that.
 #[test]
 fn holder_unfencedwaitsforthelease() {
     let lease = Tuning::default().lease;
-    let mut world = unfenced();
+    let mut world = unfenced_world();
     let old = world.holder().expect("a holder");
     world.freeze(old, Span::from_secs(30));
     let from = world.now;
@@ -77,30 +76,30 @@
     world.check_invariants();
 }
 
-/// Engines that don't check fencing numbers: a holder that reaches neither the key-value service nor the other VMs, but all
-/// engines, orders nothing more before its lease can end.
+/// A holder that reaches all engines, but neither the key-value service nor the other VMs, stops sending orders
+/// before its lease can end.
 #[test]
 fn holder_unfencedstopsbeforeitsleaseends() {
-    let mut world = unfenced();
+    let mut world = unfenced_world();
     let old = world.holder().expect("a holder");
     world.vms[old].store_reachable = false;
     world.vms[old].peers_reachable = false;
     world.wake_watchers();
-    let mut gone = None;
+    let mut stopped_at = None;
     for at in 0..400_u32 {
         if at % 4 == 0 {
-            let draft = work(&format!("c{at}"), 600, 15);
+            let spec = work(&format!("c{at}"), 600, 15);
             world.send_request(
                 old,
-                request(&format!("c{at}"), "/plan/x", 5_000, Some(draft)),
+                request(&format!("c{at}"), "/plan/x", 5_000, Some(spec)),
             );
         }
         world.run(Span::from_millis(10));
-        if gone.is_none() && world.holder() != Some(old) {
-            gone = Some(world.now);
+        if stopped_at.is_none() && world.holder() != Some(old) {
+            stopped_at = Some(world.now);
         }
     }
-    let gone = gone.expect("its lease ends");
+    let stopped_at = stopped_at.expect("the holder stops before its lease ends");
     let fences = world
         .servers
         .values()
@@ -111,19 +110,19 @@
         .min()
         .expect("orders");
     let late = fences
-        .filter(|(at, fence)| *fence == first && *at >= gone)
+        .filter(|(at, fence)| *fence == first && *at >= stopped_at)
         .count();
     assert_eq!(late, 0);
     world.check_invariants();
 }
 
-/// Engines that don't check fencing numbers, and the key-value service is away for five seconds: the holder stops in time, its
-/// lease goes on afterwards and so does its key. It schedules again under a new number as soon as its lease is sure, though
-/// nobody else may take its leadership. Leases that lapse meanwhile are the other case.
+/// The key-value service is away for five seconds. The holder stops in time; afterwards its lease and its entry
+/// still exist. It schedules again with a new fencing token as soon as its lease is renewed, though no other VM
+/// may take its leadership. The second case is that the leases expire during the outage.
 #[test]
 fn holder_unfencedschedulesagain() {
     for lapse in [false, true] {
-        let mut world = unfenced();
+        let mut world = unfenced_world();
         world.store_up = false;
         world.wake_watchers();
         world.send_light_load(Span::from_secs(5));
@@ -143,8 +142,8 @@
     }
 }
 
-/// After an outage each VM knows that the key-value service is back, also one that watches nothing but follows another VM: it
-/// would else never take a leadership again.
+/// After an outage each VM learns that the key-value service is back, including VMs that only subscribe to
+/// another one: otherwise these would never take a leadership again.
 #[test]
 fn outage_isoverforall() {
     for away in [2, 4, 6, 8] {
@@ -156,16 +155,16 @@
         world.store_up = true;
         world.send_light_load(Span::from_secs(3));
         for vm in 0..6 {
-            let said = |word: &str| {
+            let count_lines = |code: &str| {
                 let lines = world
                     .log_lines
                     .iter()
                     .filter(|line| line.contains(&format!(" vm{vm} ")));
-                lines.filter(|line| line.contains(word)).count()
+                lines.filter(|line| line.contains(code)).count()
             };
             assert_eq!(
-                said("PlatformLost"),
-                said("PlatformBack"),
+                count_lines("PlatformLost"),
+                count_lines("PlatformBack"),
                 "vm{vm}, away {away} s"
             );
         }
@@ -178,11 +177,12 @@
     }
 }
 
-/// Engines that don't check fencing numbers, and the key-value service answers nobody for eight seconds: cold requests are
-/// served all the while, since all VMs pledge to leave the leadership to its holder. Without pledges none was from 1.7 s on.
+/// The key-value service answers no VM for eight seconds: requests for adapters that are not resident are
+/// served all the time, since all VMs vote to leave the leadership to its holder. Without lease votes none of
+/// them was served after 1.7 s.
 #[test]
 fn outage_unfencedservescold() {
-    let mut world = unfenced();
+    let mut world = unfenced_world();
     let old = world.holder();
     world.store_up = false;
     world.wake_watchers();
@@ -192,17 +192,17 @@
     world.run(Span::from_secs(5));
     assert_eq!(world.count_served(&numbers), numbers.len());
     assert_eq!(world.holder(), old);
-    one_at_a_time(&world);
+    assert_one_holder_at_a_time(&world);
     world.check_invariants();
 }
 
-/// The same while VMs stand still, are cut off, killed and started anew, stopped, or reach the service though the holder does
-/// not, and while leases lapse: whatever happens, no engine takes orders of two holders in turn, nor one of a lower number
-/// after one of a higher.
+/// The same while VMs freeze, are cut off, are killed and restarted, or reach the key-value service when the
+/// holder doesn't, and while leases expire. In all cases no engine takes alternating orders of two holders, nor
+/// an order with a lower fencing token after one with a higher.
 #[test]
 fn outage_unfencedhasoneholder() {
     for seed in 0..60_u64 {
-        let mut world = unfenced();
+        let mut world = unfenced_world();
         world.rng = ChaCha8Rng::seed_from_u64(seed);
         for step in 0..60 {
             let vm = world.rng.random_range(0..world.vms.len());
@@ -222,35 +222,37 @@
             };
             world.send_requests(2, Span::from_millis(100), cold);
         }
-        one_at_a_time(&world);
+        assert_one_holder_at_a_time(&world);
         world.check_invariants();
     }
 }
 
-/// The holder alone does not reach the key-value service, and a moment later the other VMs neither: they reach the service, so it
-/// has no pledge of them, and stops before another VM takes its leadership.
+/// Only the holder can't reach the key-value service, and a moment later it can't reach the other VMs either.
+/// They reach the service, so they give no lease vote, and the holder stops before another VM takes its
+/// leadership.
 #[test]
-fn holder_cutoffhasnopledges() {
+fn holder_cutoffhasnovotes() {
     for cut in [1_400, 1_600, 1_800, 2_000, 2_200] {
-        let mut world = unfenced();
+        let mut world = unfenced_world();
         let old = world.holder().expect("a holder");
         world.vms[old].store_reachable = false;
         world.wake_watchers();
         world.send_light_load(Span::from_millis(cut));
         world.vms[old].peers_reachable = false;
-        cold_everywhere(&mut world, 40);
+        send_cold_requests(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
-        one_at_a_time(&world);
+        assert_one_holder_at_a_time(&world);
         world.check_invariants();
     }
 }
 
-/// The holder has gone on by pledges. The service is back for the other VMs, without the holder's key, just when they lose the
-/// holder: they wait until the pledge of each is over, so that the holder has stopped before.
+/// The holder went on by lease votes. The key-value service comes back for the other VMs, without the holder's
+/// entry, at the moment at which they lose their links to the holder. Each waits until its vote has expired, so
+/// that the holder has stopped before.
 #[test]
-fn outage_pledgesarekept() {
+fn outage_votesarekept() {
     for apart in [0, 40, 80, 120, 160] {
-        let mut world = unfenced();
+        let mut world = unfenced_world();
         let old = world.holder().expect("a holder");
         world.store_up = false;
         world.wake_watchers();
@@ -260,16 +262,17 @@
         world.store.remove(&EntryKey::Holder(name(ENGINES)));
         world.store_up = true;
         world.wake_watchers();
-        cold_everywhere(&mut world, 40);
+        send_cold_requests(&mut world, 40);
         assert_ne!(world.holder(), Some(old));
-        one_at_a_time(&world);
+        assert_one_holder_at_a_time(&world);
         world.check_invariants();
     }
 }
 
-/// VMs of the larger deployments have from an eighth of a core and 10 Mbit/s up. All wait a pledge's length with their new leases,
-/// and then it is still the strongest that takes the leadership: a weak one lost its lease every two seconds under the load of 60
-/// engines, and nine tenths of the long prompts were not served.
+/// VMs of the larger deployments start at an eighth of a core and 10 Mbit/s. All VMs wait for the duration of a
+/// vote after their leases are granted, and the strongest one still takes the leadership afterwards. A weak VM
+/// lost its lease every two seconds under the load of 60 engines, and nine tenths of the requests with long
+/// prompts were not served.
 #[test]
 fn holder_isthestrongestalsohere() {
     let strengths = [12, 10, 25, 12, 50, 10, 25, 12];
@@ -283,12 +286,12 @@
     world.kill(4, true);
     world.send_light_load(Span::from_secs(6));
     assert!([Some(2), Some(6)].contains(&world.holder()));
-    one_at_a_time(&world);
+    assert_one_holder_at_a_time(&world);
     world.check_invariants();
 }
 
-/// The same where the strong VMs are 0.2 s behind the others with their leases, and the first configuration comes a moment later: weak
-/// VMs count their turns from when they may take the leadership, as stronger ones do.
+/// The same when the strong VMs get their leases 0.2 s after the others and the first configuration is late:
+/// weak VMs delay their candidacies from when they may take the leadership, as stronger ones do.
 #[test]
 fn holder_isnoweakonewithalateconfiguration() {
     let strengths = [12, 10, 25, 12, 50, 10, 25, 12];
@@ -310,12 +313,12 @@
     }
 }
 
-/// A holder that can't renew its lease in time, again and again, with a moment in between: the first time it takes its leadership again,
-/// the second time it leaves it, and the next strongest VM schedules.
+/// A holder repeatedly fails to renew its lease in time, with short recoveries. The first time it takes its
+/// leadership again; the second time it resigns, and the next strongest VM schedules.
 #[test]
-fn holder_losingagainleavesitsseat() {
+fn holder_losingagainresigns() {
     let strengths = [12, 25, 50, 12];
-    // A lease outlives the silences, and a holder can't know that.
+    // The lease outlives each silence, but the holder can't know that.
     let tuning = Tuning {
         fencing: false,
         lease: Span::from_millis(4_000),
@@ -337,20 +340,20 @@
         .iter()
         .filter(|line| line.contains("LeaseTaken"));
     assert_eq!(taken.count(), 3);
-    one_at_a_time(&world);
+    assert_one_holder_at_a_time(&world);
     world.check_invariants();
 }
 
-/// All processes are killed and start again where engines don't check fencing numbers: the old holder finds its own key, which nobody
-/// else may take, and waits neither for others to meet nor for pledges.
+/// All processes are killed and start again. The old holder finds its own entry, which no other VM may replace,
+/// and waits neither for the entries of other VMs nor for lease votes to expire.
 #[test]
 fn all_killedunfencedscheduleagainatonce() {
-    let mut world = unfenced();
+    let mut world = unfenced_world();
     let old = world.holder().expect("a holder");
     for vm in 0..4 {
         world.kill(vm, false);
     }
-    // They start again after 400 ms.
+    // The processes start again after 400 ms.
     world.run(Span::from_millis(410));
     let cold = world.send_request(
         (old + 1) % 4,
@@ -359,6 +362,6 @@
     world.run(Span::from_secs(4));
     let first = world.time_to_first_chunk(cold).expect("served");
     assert!(first < Span::from_millis(450), "{first}");
-    one_at_a_time(&world);
+    assert_one_holder_at_a_time(&world);
     world.check_invariants();
 }
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -1,6 +1,7 @@
-//! Servers that start again under the id that they had, and entries of the key-value service that other programs wrote.
+//! Tests of servers that restart under the same id, and of entries of the key-value service that other programs
+//! wrote.
 //!
-//! The load is that of a quiet night: a request every 40 ms over twelve adapters in turn, at four engines.
+//! The load is light: a request every 40 ms, over twelve adapters in turn, at four engines.
 
 mod support;
 
@@ -15,20 +16,20 @@
 /// The pause between two requests.
 const PAUSE: Span = Span::from_millis(40);
 
-fn warm() -> World {
+fn warm_world() -> World {
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
     world.send_light_load(Span::from_secs(2));
     world
 }
 
-/// Arrivals at servers of these requests beyond the first of each.
-fn again(world: &World, numbers: &[u64]) -> u32 {
+/// Returns how often these requests arrived at servers beyond each request's first arrival.
+fn repeated_arrivals(world: &World, numbers: &[u64]) -> u32 {
     let arrivals = numbers.iter().map(|number| world.requests[number].arrivals);
     arrivals.map(|arrivals| arrivals.saturating_sub(1)).sum()
 }
 
-fn lines(world: &World, code: &str) -> usize {
+fn count_log_lines(world: &World, code: &str) -> usize {
     world
         .log_lines
         .iter()
@@ -36,29 +37,30 @@
         .count()
 }
 
-/// The engine holds nothing any more. Where its new start is not told apart, each of its three adapters is refused to the
-/// first request or two that ask for it, until a report is read.
+/// A restarted engine has no resident adapters. If its start can't be distinguished from the earlier one, each
+/// of its three adapters is refused to the first one or two requests that ask for it, until a report is read.
 #[test]
 fn engine_restartedholdsnothing() {
     for start in [2, 0] {
-        // Clocks step: a later start may bear a lower number.
-        let mut world = warm();
+        // Clocks step: a later start may have a lower number.
+        let mut world = warm_world();
         world.restart_server("e1", start);
         world.run(Span::from_millis(20));
         let numbers = world.send_light_load(Span::from_secs(3));
         world.run(Span::from_secs(5));
         assert_eq!(world.count_served(&numbers), numbers.len());
-        assert_eq!(again(&world, &numbers), 0, "start {start}");
-        assert_eq!(lines(&world, "ServerRestarted"), 3);
+        assert_eq!(repeated_arrivals(&world, &numbers), 0, "start {start}");
+        assert_eq!(count_log_lines(&world, "ServerRestarted"), 3);
         world.check_invariants();
     }
 }
 
-/// An order that gets no answer is carried out up to 12 s later, by a start that knows nothing of it: no engine ever loads
-/// beyond its places, and the scheduler learns what it holds.
+/// An order without an answer is performed up to 12 s later, by a start of the server that knows nothing of it.
+/// No engine ever loads more adapters than it has adapter slots, and the scheduler learns which ones are
+/// resident.
 #[test]
 fn engine_restartedmeetslateorders() {
-    let mut world = warm();
+    let mut world = warm_world();
     world.delayed_order_share = 0.5;
     let mut numbers = Vec::new();
     for start in 2..14 {
@@ -69,16 +71,16 @@
     world.delayed_order_share = 0.0;
     numbers.extend(world.send_light_load(Span::from_secs(14)));
     world.run(Span::from_secs(5));
-    let (all, good) = (numbers.len(), world.count_served(&numbers));
-    assert!(good * 10 >= all * 9, "{good} of {all}");
+    let (all, served) = (numbers.len(), world.count_served(&numbers));
+    assert!(served * 10 >= all * 9, "{served} of {all}");
     world.check_invariants();
 }
 
-/// The last write of the earlier start is carried out after the first one of the later: the engine's report tells which of
-/// them it is, and what it holds stays in use.
+/// The last write of the earlier start is performed after the first one of the later start. The engine's report
+/// distinguishes the starts, and its resident adapters stay in use.
 #[test]
 fn entry_ofanearlierstartcomeslate() {
-    let mut world = warm();
+    let mut world = warm_world();
     let (_, earlier) = world.servers[&name::<Server>("e1")].clone();
     world.restart_server("e1", 2);
     world.send_light_load(Span::from_secs(2));
@@ -86,11 +88,12 @@
     let numbers = world.send_light_load(Span::from_secs(3));
     world.run(Span::from_secs(5));
     assert_eq!(world.count_served(&numbers), numbers.len());
-    assert_eq!(again(&world, &numbers), 0);
+    assert_eq!(repeated_arrivals(&world, &numbers), 0);
     world.check_invariants();
 }
 
-/// What runs at an engine when it starts again is not counted there any more, though nobody hears of its end.
+/// The scheduler stops counting requests that ran at an engine when it restarted, though their ends are never
+/// reported.
 #[test]
 fn engine_restartedhasallitsroom() {
     let mut world = World::new(1, 1, 1);
@@ -113,11 +116,11 @@
     world.check_invariants();
 }
 
-/// An entry that can't be read names no server, and the other entries hold; one line a second tells of them, however many
-/// there are.
+/// An unreadable entry describes no server, and the other entries stay valid. However many unreadable entries
+/// there are, they are logged in one line a second.
 #[test]
 fn entry_unreadablenamesnoserver() {
-    let mut world = warm();
+    let mut world = warm_world();
     world
         .servers
         .get_mut(&name::<Server>("e1"))
@@ -125,22 +128,22 @@
         .0
         .up = false;
     for at in 0..200 {
-        let spoilt = if at == 0 {
+        let unreadable = if at == 0 {
             "e1".to_owned()
         } else {
             format!("x{at}")
         };
-        world.write_entry(EntryKey::Server(name(&spoilt)), EntryValue::Unreadable);
+        world.write_entry(EntryKey::Server(name(&unreadable)), EntryValue::Unreadable);
     }
     world.run(Span::from_millis(200));
     let numbers = world.send_light_load(Span::from_secs(2));
     world.run(Span::from_secs(5));
     assert_eq!(world.count_served(&numbers), numbers.len());
-    assert_eq!(again(&world, &numbers), 0);
+    assert_eq!(repeated_arrivals(&world, &numbers), 0);
     assert!(
-        lines(&world, "EntryUnreadable") <= 9,
+        count_log_lines(&world, "EntryUnreadable") <= 9,
         "{}",
-        lines(&world, "EntryUnreadable")
+        count_log_lines(&world, "EntryUnreadable")
     );
     world.restart_server("e1", 2);
     let back = world.send_light_load(Span::from_secs(1));
@@ -149,33 +152,34 @@
     world.check_invariants();
 }
 
-/// Where servers tell their starts, an entry without one is another program's.
+/// Where servers report their starts, an entry without a start was written by another program.
 #[test]
 fn entry_withoutstartnamesnoserver() {
-    let mut world = warm();
-    let (_, good) = world.servers[&name::<Server>("p0")].clone();
-    let nowhere = Backend {
+    let mut world = warm_world();
+    let (_, served) = world.servers[&name::<Server>("p0")].clone();
+    let without_start = Backend {
         address: support::setup::address(9, 9),
         start: None,
-        ..(*good).clone()
+        ..(*served).clone()
     };
     world.write_entry(
         EntryKey::Server(name("p9")),
-        EntryValue::Server(Arc::new(nowhere)),
+        EntryValue::Server(Arc::new(without_start)),
     );
     world.run(Span::from_millis(200));
     let post = |at| support::setup::request(&format!("p{at}"), "/post/x", 2_000, None);
     let numbers = world.send_requests(40, PAUSE, post);
     world.run(Span::from_secs(3));
     assert_eq!(world.count_served(&numbers), 40);
-    assert_eq!(again(&world, &numbers), 0);
+    assert_eq!(repeated_arrivals(&world, &numbers), 0);
     world.check_invariants();
 }
 
-/// A leadership's entry that can't be read is taken like a free one, and the operator's words stay in force.
+/// An unreadable entry of a leadership counts as absent, and the operator's last readable entries stay in
+/// force.
 #[test]
-fn entry_unreadablefreestheseat() {
-    let mut world = warm();
+fn entry_unreadablefreestheleadership() {
+    let mut world = warm_world();
     world.publish_version("a1", 3);
     world.write_entry(EntryKey::Config, EntryValue::Unreadable);
     world.write_entry(
@@ -191,12 +195,13 @@
     world.check_invariants();
 }
 
-/// A version of one adapter every 300 ms, while it is asked for every 40 ms and by long answers too, as when an adapter is
-/// retrained in a hurry: no request begins on a version older than the newest one named when it was sent, each is served, and
-/// five seconds after the last name only the last is in use.
+/// One adapter gets a new version every 300 ms, as when it is retrained repeatedly, while it is requested every
+/// 40 ms and also for long answers. No request starts on a version older than the newest one published when the
+/// request was sent, all requests are served, and five seconds after the last publication only the last version
+/// is in use.
 #[test]
 fn versions_inquicksuccession() {
-    let mut world = warm();
+    let mut world = warm_world();
     let mut numbers = Vec::new();
     for version in 2..22 {
         world.publish_version("a5", version);
@@ -214,8 +219,8 @@
     world.run(Span::from_secs(5));
     let last = world.send_requests(10, PAUSE, |at| adapter_request(&format!("z{at}"), "a5"));
     world.run(Span::from_secs(9));
-    let (all, good) = (numbers.len(), world.count_served(&numbers));
-    assert!(good * 100 >= all * 95, "{good} of {all}");
+    let (all, served) = (numbers.len(), world.count_served(&numbers));
+    assert!(served * 100 >= all * 95, "{served} of {all}");
     assert_eq!(world.count_served(&last), last.len());
     let ran = last
         .iter()
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -1,6 +1,7 @@
-//! Which VM schedules, where a few are strong and most are weak, as on each of the larger deployments: a VM with an eighth of a core
-//! can't carry a hundred engines, falls behind, and holds on. On a day on which it got the leadership after an outage, and again after all VMs
-//! had lost power, a fifth of the requests was served.
+//! Tests of which VM schedules when a few VMs are strong and most are weak, as in each of the larger
+//! deployments. A VM with an eighth of a core can't schedule a hundred engines: it falls behind and still keeps
+//! the leadership. When one got the leadership after an outage, or after all VMs had lost power, only a fifth
+//! of the requests was served.
 
 mod support;
 
@@ -8,11 +9,12 @@
 use dahliastile_gateway::settings::Tuning;
 use support::World;
 
-/// VMs, the first of which are strong.
+/// The number of VMs.
 const VMS: usize = 28;
+/// The number of strong VMs, which have the lowest numbers.
 const STRONG: usize = 4;
 
-fn fleet() -> World {
+fn uneven_world() -> World {
     let strength = |vm| if vm < STRONG { 50 } else { 12 };
     let strengths: Vec<u32> = (0..VMS).map(strength).collect();
     let mut world = World::with_strengths(&strengths, 4, 1, Tuning::default());
@@ -20,12 +22,12 @@
     world
 }
 
-/// A strong holder is gone, and the next one after a while: whatever the pause, a weak VM's wait for the first vacancy gives it no turn in
-/// the second one.
+/// A strong holder fails, and some time later the next one. Whatever the time between the failures, a weak VM's
+/// candidacy for the first vacancy doesn't let it take the leadership in the second one.
 #[test]
-fn turn_endswithitsvacancy() {
+fn candidacy_endswithitsvacancy() {
     for tenths in 4..45 {
-        let mut world = fleet();
+        let mut world = uneven_world();
         for pause in [tenths * 100, 5_000] {
             let holder = world.holder().expect("a holder");
             assert!(holder < STRONG, "after {tenths}00 ms vm{holder} holds");
@@ -41,11 +43,11 @@
     }
 }
 
-/// A weak VM schedules because no strong one was there. When all VMs have lost power and are back, a strong one does, though the key
-/// of the weak one's earlier start is still there.
+/// A weak VM schedules because no strong one was alive. When all VMs have lost power and are back, a strong one
+/// schedules, though the entry of the weak VM's earlier start still exists.
 #[test]
 fn all_killedstrongschedules() {
-    let mut world = fleet();
+    let mut world = uneven_world();
     for vm in 0..STRONG {
         world.kill(vm, true);
     }
@@ -61,35 +63,35 @@
     world.check_invariants();
 }
 
-/// The strongest VMs see by their links that the holder is gone, before its silence is long enough for all: the first of them does not
-/// wait for the holder's own turn.
+/// The strongest VMs notice by their links that the holder has failed, before its heartbeats are overdue. The
+/// first of them doesn't wait for its rank as if the failed holder were still a candidate.
 #[test]
 fn holder_killedisreplacedatonce() {
-    let mut world = fleet();
+    let mut world = uneven_world();
     let old = world.holder().expect("a holder");
     let strong: Vec<usize> = (0..STRONG).filter(|vm| *vm != old).collect();
-    let ask = |world: &mut World, at: usize| {
+    let send_round = |world: &mut World, at: usize| {
         for vm in &strong {
-            let call = support::setup::adapter_request(&format!("r{at}"), "a1");
-            world.send_request(*vm, call);
+            let request = support::setup::adapter_request(&format!("r{at}"), "a1");
+            world.send_request(*vm, request);
         }
         world.run(Span::from_millis(20));
     };
-    (0..50).for_each(|at| ask(&mut world, at));
+    (0..50).for_each(|at| send_round(&mut world, at));
     world.kill(old, true);
-    (50..70).for_each(|at| ask(&mut world, at));
+    (50..70).for_each(|at| send_round(&mut world, at));
     let new = world.holder().expect("a holder");
     assert!(strong.contains(&new), "vm{new} holds");
     world.check_invariants();
 }
 
-/// All strong VMs are away when the leadership becomes free, and come back. The weak VM that has it falls behind, as each run takes it a
-/// fiftieth of a second, and leaves it to a strong one.
+/// All strong VMs are down when the leadership becomes free, and come back later. The weak VM that has it falls
+/// behind, as each run of the scheduler takes it a fiftieth of a second, and resigns to a strong one.
 #[test]
-fn strong_backgetstheseat() {
-    let mut world = fleet();
-    for host in &mut world.vms[STRONG..] {
-        host.cpu_cost = (Span(200), Span::from_millis(20));
+fn strong_backgetstheleadership() {
+    let mut world = uneven_world();
+    for vm in &mut world.vms[STRONG..] {
+        vm.cpu_cost = (Span(200), Span::from_millis(20));
     }
     for vm in 0..STRONG {
         world.kill(vm, true);
