--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a gateway wants done.
+//! The outputs of a [`Gateway`](crate::Gateway): what the process around it has to do after a step.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,109 +12,112 @@
 use crate::event::{Lease, RequestId};
 use crate::message::Message;
 
-/// The number of a call of the key-value service.
+/// The number of a call of the key-value service; its outcome comes back under the same number.
 pub type KvOperationId = u64;
 
-/// The number of an order.
+/// The number of an order to a server; its outcome comes back under the same number.
 pub type OrderId = u64;
 
-/// Why a request gets no answer of a server.
+/// Why the caller of a request gets a refusal instead of a server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalReason {
-    /// No route fits.
+    /// No route matches the request's host and path.
     NoRoute,
-    /// No configuration is known yet.
+    /// The VM knows no configuration yet.
     NoConfig,
-    /// No account holds its key.
+    /// The request has no key of any account.
     UnknownKey,
-    /// No account that this VM knows holds its key, and the VM may not know the newest configuration; it has not run.
+    /// The request has no key of an account that this VM knows, but the VM may not know the newest configuration. No
+    /// server has run the request.
     UnconfirmedKey,
-    /// Its account has used what it may; it has not run.
+    /// The quota of its account is used up. No server has run the request.
     OverLimit,
-    /// No server could take it in time; it has not run.
+    /// No server could serve it in time. No server has run the request.
     Overloaded,
-    /// Servers have ended, one after the other, while they ran it; this time it has not run.
+    /// Several servers have crashed, one after the other, while they ran such a request. No server has run it this
+    /// time.
     Quarantined,
-    /// A server may have run it, and no whole answer came.
+    /// A server may have run it, and no complete answer arrived.
     Failed,
-    /// The route's time is over; it may have run.
+    /// Its deadline has passed, and a server may have run it.
     TimedOut,
 }
 
-/// One send of a request.
+/// One attempt to have a server answer a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
     /// The server.
     pub server: Server,
-    /// Where it listens.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// The time left for it.
+    /// The time left until the request's deadline.
     pub left: Span,
-    /// The client account that it is for; none where it needs none.
+    /// The client account of the request, to be named to the server; none where the request needs no account.
     pub account: Option<Tenant>,
-    /// The version of the adapter that it must hold.
+    /// The version of the adapter that the server must use; none where any will do.
     pub version: Option<Version>,
-    /// How its turn compares at the server, 0 first.
+    /// The request's priority in the server's queue; requests with a lower number are served first.
     pub priority: u8,
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is an event stream.
     pub stream: bool,
-    /// Whether a broken stream can go on elsewhere.
+    /// Whether a broken stream can be continued at another server.
     pub resumable: bool,
 }
 
-/// What becomes of a request next.
+/// What the task that serves a caller's request has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// It is sent to a server.
+    /// Send the request to a server.
     Attempt(Box<Attempt>),
-    /// The server's own failure is the answer.
+    /// Forward the server's own error answer to the caller.
     ForwardFailure,
-    /// It is refused, and the caller may come back after the span.
+    /// Refuse the request; the caller is told that it may retry after the span, where there is one.
     Refuse(RefusalReason, Option<Span>),
-    /// Its time is over in the midst of its answer, which is broken off.
+    /// Abort the answer: the request's deadline has passed while its answer was being sent.
     AbortAnswer,
 }
 
-/// What an order asks of an engine.
+/// An order to an engine to load or unload a base model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Whether it loads or unloads.
+    /// Whether to load or to unload.
     pub load: bool,
     /// The base model.
     pub model: Arc<str>,
-    /// The adapter; none for the base model itself.
+    /// The adapter of the base model; none for the base model itself.
     pub adapter: Option<Arc<str>>,
-    /// The version to load; none for the newest.
+    /// The version to load; none for the newest one.
     pub version: Option<Version>,
-    /// The number of orders that the server must have accepted before.
+    /// The number of orders that the server must have accepted since its start. With another count it rejects the
+    /// order.
     pub expected: u64,
-    /// The fencing number.
+    /// The fencing token of the scheduler that gives the order.
     pub fence: u64,
-    /// How long its answer is waited for.
+    /// The timeout of the answer.
     pub answer_timeout: Span,
 }
 
 /// A call of the key-value service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KvOperation {
-    /// Read everything.
+    /// Read all entries.
     List,
-    /// Wait for changes after a revision.
+    /// Wait for changes after a revision, at most for the span.
     Watch(Revision, Span),
-    /// Grant a lease.
+    /// Create a lease with this time to live.
     GrantLease(Span),
     /// Renew a lease.
     RenewLease(Lease),
-    /// End a lease.
+    /// Revoke a lease, which removes the entries that were written under it.
     RevokeLease(Lease),
-    /// Write a fact under a lease, if each of these subjects is still as of a revision (0: not there).
+    /// Write an entry under a lease, if the last change of each of these keys has this revision (0: no such entry).
     Put(Change, Lease, Vec<(EntryKey, Revision)>),
-    /// Remove a subject that is still as of a revision.
+    /// Remove the entry of a key, if its last change has this revision.
     Remove(EntryKey, Revision),
 }
 
 impl KvOperation {
-    /// What kind of call it is, for figures.
+    /// The kind of the call, as the label of metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -129,17 +132,17 @@
     }
 }
 
-/// How far a message to another VM goes.
+/// Whether a message to another VM crosses the border of an availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Locality {
-    /// It stays in this VM's availability zone.
+    /// The receiver is in the sender's availability zone.
     SameZone,
-    /// It leaves it, or may.
+    /// The receiver is in another availability zone, or its zone is unknown.
     CrossZone,
 }
 
 impl Locality {
-    /// Its name, for figures.
+    /// Its name, as the label of metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -149,28 +152,30 @@
     }
 }
 
-/// Something to do.
+/// An output of the gateway's state machine, appended by [`Gateway::step`](crate::Gateway::step).
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Tells a request's task what to do.
+    /// Tell the task that serves a caller's request what to do next.
     Request(RequestId, NextStep),
-    /// Calls the key-value service.
+    /// Call the key-value service.
     KvCall(KvOperationId, KvOperation),
-    /// Orders something of a server.
+    /// Send an order to the server at this address.
     Order(OrderId, Server, SocketAddr, Order),
-    /// Asks a server for its report.
+    /// Ask the server at this address for its report.
     Report(Server, SocketAddr),
-    /// Makes a connection to a server, to see whether it takes any.
+    /// Probe a server: open a connection to this address, to learn whether the server accepts any.
     Probe(Server, SocketAddr),
-    /// Has all answers of a server told, also those that say nothing of it; or only those that do.
+    /// With `true`: send [`Event::NoticeReceived`](crate::event::Event::NoticeReceived) for every answer of the
+    /// server, also for answers without a notice, so that the end of a rate limit is seen. With `false`: only for
+    /// answers with one.
     TrackAnswers(Server, bool),
-    /// Sends a message to the VM at an address.
+    /// Send a message to the VM at this address.
     SendMessage(SocketAddr, Locality, Message),
-    /// Writes a log event.
+    /// Write a log record.
     Log(Record),
-    /// Counts or observes a figure.
+    /// Record a sample of a metric.
     Measure(Sample),
 }
 
-/// Effects in the order in which they are to be done.
+/// Effects in the order in which they are to be carried out.
 pub type Effects = Vec<Effect>;
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a gateway.
+//! The inputs of a [`Gateway`](crate::Gateway): events of callers, servers, the key-value service and other VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,203 +16,204 @@
 use crate::request::notice::Notice;
 use crate::settings::Tuning;
 
-/// The number of a request on this VM, never used twice by one start.
+/// The number of a caller's request on the VM that received it. A process never uses one twice.
 pub type RequestId = u64;
 
-/// A lease of the key-value service.
+/// The id of a lease of the key-value service.
 pub type Lease = u64;
 
-/// What a request asks an engine for.
+/// The inference that a request asks an engine for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InferenceSpec {
     /// The base model.
     pub model: Arc<str>,
-    /// The adapter of it, where one is named.
+    /// The adapter of the base model; none for the base model itself.
     pub adapter: Option<Arc<str>>,
-    /// Tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The largest number of tokens asked for.
+    /// The largest number of output tokens that the caller asks for.
     pub max_output_tokens: u32,
-    /// The parts of the prompt, in order.
+    /// The parts that make up the prompt, in order. Prefix caches are keyed by them.
     pub prompt_parts: Arc<[PromptPart]>,
 }
 
-/// A part of a prompt. Requests share parts; the last one belongs to the request itself or to its session.
+/// A part of a prompt. Requests with a common prefix share parts; the last part is the request's or its session's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// Its id, the same wherever the same text stands.
+    /// The id of the part's text; equal texts have equal ids.
     pub id: u64,
-    /// Its tokens.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// A caller's request, without its body.
+/// A caller's request without its body, as read by the HTTP server.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The caller's own id of it.
+    /// The id that the caller gave to the request, for the log.
     pub id: Arc<str>,
-    /// The host that it names.
+    /// The value of its `Host` header.
     pub host: String,
-    /// Its path.
+    /// The path of its URL.
     pub path: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer, where it says so.
     pub caller_timeout: Option<Span>,
-    /// What it asks an engine for; none for a plain service.
+    /// The inference that it asks for; none for a request to a plain service.
     pub work: Option<InferenceSpec>,
-    /// The key that it bears; none where it bears none, several, or one that can't be any.
+    /// The API key of its account; none if the request has no key, several, or a malformed one.
     pub key: Option<AccountKey>,
-    /// The tokens that it names.
+    /// The number of tokens to charge for it, where the caller gives one.
     pub tokens: Option<Tokens>,
-    /// What it has in common with others that ask the same.
+    /// A hash of the method, host, path, query and body; equal for repetitions of the same request.
     pub fingerprint: Fingerprint,
 }
 
-/// Whether a request has run at a server.
+/// Whether a server has executed a request that it did not answer successfully.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Execution {
-    /// It has not and will not: no byte was sent, or the server says so.
+    /// It has not and will not: no byte was sent, or the server says that it did not run the request.
     No,
-    /// It may have.
+    /// It may have executed all or part of it.
     Maybe,
-    /// It has.
+    /// It has executed it.
     Yes,
 }
 
-/// Why a server did not answer a request well.
+/// Why an attempt to have a server answer a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FailureCause {
-    /// No connection could be made.
+    /// No connection to the server could be made.
     Unreachable,
-    /// The connection broke.
+    /// The connection broke, or the server did not answer in time.
     Broken,
-    /// The answer was none in the protocol, or another request's.
+    /// The answer violates the protocol, or belongs to another request.
     Malformed,
-    /// The server takes no more work.
+    /// The server has no capacity for more requests.
     Full,
-    /// The server is another one, or lacks the adapter or its version.
+    /// Another server listens at the address, or the server lacks the adapter or its version.
     Missing,
-    /// The server answered with this status of its own.
+    /// The server answered with this HTTP status of its own.
     Status(u16),
-    /// This VM sends nothing to the server now.
+    /// This VM sends no requests to the server for the time being, and did not try.
     Declined,
 }
 
-/// How an order came out.
+/// The outcome of an order to load or unload a model or adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being carried out.
+    /// The server carries it out.
     Accepted,
-    /// What it asks for holds already.
+    /// The server is in the requested state already.
     Holds,
-    /// Another order is in progress, or the count of orders differs.
+    /// Another order is in progress, or the server's count of orders is not the expected one.
     Conflict,
-    /// A higher fencing number was seen.
+    /// The server has seen a higher fencing token.
     Fenced,
-    /// The server is another one.
+    /// Another server listens at the address.
     Missing,
-    /// The server can't carry it out.
+    /// The server can't carry out such an order.
     Invalid,
-    /// No answer: it may be carried out, also later.
+    /// No answer: the order may have been carried out, or may be later.
     Unknown,
-    /// It certainly did not reach the server.
+    /// The order certainly did not reach the server.
     NotSent,
 }
 
-/// What a server says it holds and does, as of some hundred milliseconds before.
+/// A server's report on its models, adapters and orders. Reports lag the server's state by some hundred milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The base models and their adapters.
+    /// The resident base models with their resident adapters.
     pub models: Vec<ResidentModel>,
-    /// Adapters on their way to it: base model, adapter, version.
+    /// Adapters that are being loaded: base model, adapter, version.
     pub loading: Vec<(Arc<str>, Arc<str>, u64)>,
-    /// Whether an order on a base model is in progress.
+    /// Whether an order to load or unload a base model is in progress.
     pub busy: bool,
-    /// Orders accepted.
+    /// The number of orders that the server has accepted since its start.
     pub orders: u64,
-    /// The server's start, where deployments tell it.
+    /// The incarnation of the server process, in deployments that report it.
     pub start: Option<Incarnation>,
 }
 
-/// Whether a server takes connections.
+/// The result of a probe: whether a server accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It does.
+    /// It accepted a connection.
     Listens,
-    /// Nothing listens at its address.
+    /// The connection was refused: nothing listens at the address.
     Refuses,
-    /// There was no answer in time.
+    /// No answer within the probe's timeout, or another error.
     Silent,
 }
 
-/// How a call of the key-value service came out.
+/// The outcome of a call of the key-value service.
 #[derive(Clone, Debug)]
 pub enum KvOutcome {
-    /// Items listed, and the revision of the first page.
+    /// All entries, and the revision at which the list began (that of its first page).
     Listed(Vec<Change>, Revision),
-    /// Changes after the revision asked for, and the revision to go on from.
+    /// The changes after the requested revision, and the revision to continue the watch from.
     Watched(Vec<Change>, Revision),
-    /// The history asked for is gone.
+    /// The requested revision has been compacted; the entries must be listed again.
     Compacted,
-    /// A lease with the time it lives.
+    /// A new lease and its time to live.
     Granted(Lease, Span),
-    /// The lease lives on.
+    /// The lease was renewed for this time to live.
     Renewed(Span),
-    /// Written at this revision.
+    /// The entry was written, or removed, at this revision.
     Written(Revision),
-    /// A condition did not hold; the subjects as they are now.
+    /// A condition of the write did not hold; the present state of the entries that the conditions name.
     Conflict(Vec<Change>),
-    /// There is no such lease.
+    /// The lease does not exist.
     NoLease,
-    /// Nothing was done.
+    /// The call was rejected, or could not be sent, and had no effect.
     Refused,
-    /// No answer: it may have been done, also later.
+    /// No answer: the call may have taken effect, or may later.
     Unknown,
 }
 
-/// How a link to another VM failed.
+/// How a connection to another VM failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// It could not be made.
+    /// No connection could be made.
     Unreachable,
-    /// It broke.
+    /// The connection broke.
     Broken,
-    /// What was sent was not taken in within its time, as by a VM that is busy or can't be reached.
+    /// The other VM did not read what was sent within the timeout: it is busy or can't be reached.
     Late,
 }
 
-/// Something that happened.
+/// An input of the gateway's state machine, passed to [`Gateway::step`](crate::Gateway::step).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The gateway begins.
+    /// The process has started. The first event, sent once.
     Start,
-    /// A time asked for by [`crate::Gateway::next_wakeup`] has come.
+    /// The time that [`crate::Gateway::next_wakeup`] returned has come.
     Tick,
     /// A caller's request has been read.
     RequestArrived(RequestId, Box<CallerRequest>),
-    /// The caller has left.
+    /// The caller closed its connection before its answer was complete.
     CallerLeft(RequestId),
-    /// The first piece of an answer has come.
+    /// The first chunk of the answer has arrived from the server.
     AnswerStarted(RequestId),
-    /// The answer is complete, with the longest pause between two pieces of it.
+    /// The answer is complete; the longest pause between two of its chunks, zero where it is no stream.
     AnswerCompleted(RequestId, Span),
-    /// The server did not answer well.
+    /// The attempt at a server failed; whether the server executed the request, and the cause.
     AttemptFailed(RequestId, Execution, FailureCause),
-    /// An order came back.
+    /// A server answered an order, or the order's timeout has passed.
     OrderAnswered(OrderId, OrderOutcome),
-    /// An answer says something of its server, or says no more what an earlier one did.
+    /// A server's answer carries a notice about the server (rate limit, shutdown, cooldown), or no longer carries the
+    /// one that an earlier answer did.
     NoticeReceived(Server, Notice),
-    /// A server's report, or none where it gave none.
+    /// A server's report; none if it gave no valid one in time.
     ReportReceived(Server, Option<Report>),
-    /// A server was asked whether it takes connections.
+    /// The result of a probe of a server.
     Probed(Server, ProbeResult),
-    /// A call of the key-value service came back.
+    /// A call of the key-value service was answered, or its timeout has passed.
     KvAnswered(KvOperationId, KvOutcome),
-    /// A message from another VM.
+    /// A message of another VM has arrived.
     PeerMessage(Vm, Message),
-    /// A link to another VM could not be made or broke.
+    /// The connection to the VM at this address could not be made, or failed.
     PeerDown(SocketAddr, LinkFault),
-    /// The settings file was read again: its figures, or why it can't be used.
+    /// The settings file was read again: its tuning parameters, or why the file can't be used.
     SettingsReloaded(Result<Box<Tuning>, String>),
-    /// The process is to stop.
+    /// The process was asked to stop gracefully.
     Stop,
 }
--- a/crates/gateway/src/feature.rs
+++ b/crates/gateway/src/feature.rs
@@ -1,39 +1,40 @@
-//! Parts of the decisions that can be switched off, to measure what each is worth or to do without one in an incident.
+//! Features that can be switched off, to measure the effect of each or to disable one in an incident.
 //!
-//! Without any of them everything promised still holds: they only make answers faster and loads fewer.
+//! No guarantee depends on a feature: they only make answers faster and adapter loads fewer.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Something that the decisions can do without.
+/// A feature that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feature {
-    /// Adapters come back to the engine beside which copies of them lie.
+    /// An evicted adapter is loaded again at an engine whose machine still has a local copy of it, which is faster
+    /// than a load from the weight store.
     CachedAdapters,
-    /// A request waits for room at such an engine, though another one has room.
+    /// A request waits for a free adapter slot at an engine with a local copy, even if another engine has a free slot.
     CachedAdapterWait,
-    /// An engine that keeps parts of a prompt is preferred, and they don't count as work for it.
+    /// An engine with parts of the prompt in its prefix cache is preferred, and these parts count as no prefill work.
     PrefixCache,
-    /// Adapters that are asked for beyond what their engines can read are loaded on more of them.
+    /// An adapter with more prefill work than the engines that hold it can do is loaded at additional engines.
     ExtraReplicas,
-    /// Engines and plain servers of the VM's own availability zone are preferred.
+    /// Engines and plain servers in the VM's own availability zone are preferred.
     ZonePreference,
-    /// What can't be served in time by the forecast is refused at once.
+    /// A request that by the forecast can't be served in time is refused immediately.
     ForecastRefusals,
-    /// Servers that fail what they run come last.
+    /// Servers at which requests failed are used only if no other server is available.
     HealthRanking,
-    /// The version before is used for a moment while the newest one loads.
+    /// The previous version of an adapter is used for a short time while the newest one is being loaded.
     OldVersions,
-    /// A scheduler goes on through an outage by the votes of the other VMs.
+    /// A scheduler continues during an outage of the key-value service by lease votes of the other VMs.
     LeaseVotes,
-    /// The strongest VMs schedule and watch for the others.
+    /// The VMs with the highest strength schedule, and watch the key-value service, on behalf of the others.
     Strength,
-    /// VMs that run short of an account's tokens draw from what others don't need.
+    /// A VM whose share of an account has too few tokens gets tokens that other VMs do not need.
     TokenPool,
 }
 
 impl Feature {
-    /// All of them, with the names that operators write.
+    /// All features with the names that operators use in the settings.
     pub const ALL: [(Self, &'static str); 11] = [
         (Self::CachedAdapters, "recent-adapters"),
         (Self::CachedAdapterWait, "recent-patience"),
@@ -48,6 +49,7 @@
         (Self::TokenPool, "token-pool"),
     ];
 
+    /// The feature's bit in [`DisabledFeatures`].
     const fn bit(self) -> u32 {
         1 << self as u32
     }
@@ -61,33 +63,34 @@
     }
 }
 
-/// A name that is none of a feature.
+/// The error for a name that belongs to no feature.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no feature; there are: {names}", names = names())]
-pub struct Unknown(String);
+#[error("unknown feature {0:?}; known features: {names}", names = feature_names())]
+pub struct UnknownFeature(String);
 
-fn names() -> String {
+/// The names of all features, separated by commas.
+fn feature_names() -> String {
     let names: Vec<&str> = Feature::ALL.iter().map(|(_, name)| *name).collect();
     names.join(", ")
 }
 
 impl FromStr for Feature {
-    type Err = Unknown;
+    type Err = UnknownFeature;
 
-    fn from_str(text: &str) -> Result<Self, Unknown> {
+    fn from_str(text: &str) -> Result<Self, UnknownFeature> {
         let mut all = Self::ALL.iter();
         let found = all.find(|(_, name)| *name == text);
         let found = found.map(|(feature, _)| *feature);
-        found.ok_or_else(|| Unknown(text.to_owned()))
+        found.ok_or_else(|| UnknownFeature(text.to_owned()))
     }
 }
 
-/// The features that are switched off.
+/// The set of features that are switched off, as a bit set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisabledFeatures(u32);
 
 impl DisabledFeatures {
-    /// Whether a feature is in use.
+    /// Whether a feature is enabled.
     #[must_use]
     pub const fn uses(self, feature: Feature) -> bool {
         self.0 & feature.bit() == 0
@@ -101,7 +104,7 @@
     }
 }
 
-/// The names with commas between; `-` where none is switched off.
+/// Writes the names of the disabled features separated by commas, or `-` if there are none.
 impl fmt::Display for DisabledFeatures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let off = Feature::ALL
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,17 +1,20 @@
-//! The decisions of one entry VM in front of backend servers that say truthfully what they did not run.
+//! The decision logic of one entry VM: which requests are admitted, which backend server gets each, and what becomes of
+//! failures. It relies on backend servers to say truthfully which requests they did not run.
 //!
 //! [`Gateway`] is a pure state machine: [`Gateway::step`] takes the time, an [`Event`](event::Event) and a buffer
-//! for [`Effect`](effect::Effect)s. It does no I/O, reads no clock and holds no globals, so dozens of gateways run
-//! side by side in virtual time.
+//! for [`Effect`](effect::Effect)s. It does no I/O, reads no clock and has no global state, so tests run dozens of
+//! gateways side by side in virtual time.
 //!
-//! # How the parts meet
-//! * [`cluster`]: the VMs together; what the key-value service says, who is there, who schedules.
-//! * [`config`]: the operators' configuration, and requests that come before the first one is known.
-//! * [`account`]: whose request it is, and how much each client account may use over all VMs.
-//! * [`request`]: a caller's request on this VM, from arrival to its one final answer.
-//! * [`scheduler`]: which adapter is loaded where, and which request goes to which engine. It runs on the one VM that holds the
-//!   service's leadership, and has a client on every VM.
-//! * [`event`] in, [`effect`] out, and [`message`] between VMs; [`settings`], and [`feature`]: what can be switched off.
+//! # Modules
+//! * [`cluster`]: state shared by the VMs: the entries of the key-value service, membership, leadership of the
+//!   schedulers.
+//! * [`config`]: the operator's configuration, and the queue of requests that arrive before one is known.
+//! * [`account`]: client accounts: authentication of requests, and quotas enforced over all VMs together.
+//! * [`request`]: the state of a caller's request on this VM, from its arrival to its one final answer.
+//! * [`scheduler`]: which adapters each engine loads, and which request goes to which engine. The scheduler of a
+//!   service runs on the VM that holds the service's leadership; every VM has a client of it.
+//! * [`event`]: the inputs of the state machine; [`effect`]: its outputs; [`message`]: messages between VMs.
+//! * [`settings`]: the settings of a VM; [`feature`]: features that can be switched off.
 
 pub mod account;
 pub mod cluster;
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,4 +1,7 @@
-//! Messages between entry VMs. Each may be lost, late or doubled.
+//! The messages that entry VMs send to each other, and their encoding.
+//!
+//! Delivery is best effort: a message may be lost, delayed or delivered more than once. Variants and fields are
+//! encoded by position, so their order is part of the protocol.
 
 use dahliastile_core::id::{Incarnation, Server, Service, Tenant, Zone};
 use dahliastile_core::time::{Instant, Span};
@@ -13,129 +16,141 @@
 use crate::request::notice::Rate;
 use crate::request::quarantine::{CrashReport, QuarantineStatus};
 
-/// A request that wants a place at an engine.
+/// A request that waits for the scheduler to choose an engine for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRequest {
-    /// Its number on the VM that asks.
+    /// The request's number on the VM that sends this message.
     pub request: RequestId,
-    /// The caller's id of it, for the log.
+    /// The id that the caller gave to the request, for the log.
     pub id: Arc<str>,
-    /// What it asks for.
+    /// The model, adapter and tokens that it asks for.
     pub work: InferenceSpec,
-    /// How long it has waited already.
+    /// Time since its arrival.
     pub waited: Span,
-    /// The time within which its first event is of full use, from its arrival.
+    /// The time from its arrival within which the first chunk of its answer is wanted.
     pub objective: Span,
-    /// The time left until its answer is of no use.
+    /// The time until its deadline, after which an answer is useless to the caller.
     pub left: Span,
-    /// Its rank, 0 first.
+    /// Its priority; requests with a lower number are served first.
     pub priority: u8,
-    /// The availability zone of its VM.
+    /// The availability zone of the VM that received it.
     pub zone: Zone,
-    /// Servers that have failed it.
+    /// Servers at which an attempt to serve it has failed.
     pub failed: Vec<Server>,
 }
 
-/// A request that runs at an engine.
+/// A request that was sent to an engine and is not finished.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Running {
-    /// Its number on the VM that asks.
+    /// The request's number on the VM that sends this message.
     pub request: RequestId,
-    /// Where it runs.
+    /// The engine that it was sent to.
     pub server: Server,
-    /// What it asks for.
+    /// The model, adapter and tokens that it asks for.
     pub work: InferenceSpec,
 }
 
-/// What one engine holds, as its scheduler believes.
+/// The adapters resident at one engine, as far as its scheduler knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineResidents {
     /// The engine.
     pub server: Server,
-    /// The adapters that can be used there.
+    /// The adapters that it can serve without a load.
     pub adapters: Vec<Resident>,
 }
 
-/// Changes of the key-value service, as one VM passes them on to another.
+/// A batch of changes of the key-value service's entries, sent by a VM to its subscribers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replication {
-    /// All changes after this revision.
+    /// The batch holds all changes after this revision.
     pub since: Revision,
-    /// Up to this one.
+    /// The batch holds all changes up to and including this revision.
     pub until: Revision,
-    /// How long ago the service last answered the sender, or the VM that the sender follows, as far as it knows.
+    /// Time since the key-value service last answered the sender, or the sender's upstream, as far as the sender knows.
     pub age: Span,
-    /// Whether entries may be missing only because the service was away until a moment ago.
+    /// Whether the key-value service was unreachable until recently, so that entries may be missing although their
+    /// owners are alive.
     pub recovering: bool,
-    /// The changes.
+    /// The last change of each changed entry.
     pub changes: Vec<Change>,
 }
 
-/// How a placed request went.
+/// A change in the state of a request, reported to the scheduler by the VM that received the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// Its first event came.
+    /// The first chunk of its answer has arrived.
     AnswerStarted,
-    /// It is over.
+    /// The request has its final answer, or its caller has left.
     Finished,
-    /// Its server failed it.
+    /// The attempt at its server has failed; whether the server ran the request, and the cause.
     Failed(Execution, FailureCause),
 }
 
-/// A message.
+/// A message from one entry VM to another.
+///
+/// `Service` is the service whose scheduler sends or receives the message. A `u64` after it is the fencing token of
+/// the scheduler's leadership; receivers drop messages whose token is older than the newest that they know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To the scheduler: requests that want a place.
+    /// To the scheduler: asks for an engine for a request.
     PlacementRequest(Service, PlacementRequest),
-    /// To the scheduler: a request is no longer waited for, or went on.
+    /// To the scheduler: the state of a request has changed.
     Progress(Service, RequestId, Progress),
-    /// To a new scheduler: where this VM is, and all that runs and waits on it, in place of all said before.
+    /// To a new scheduler: the sender's description of itself, its running requests and its waiting requests. They
+    /// replace all that the scheduler knew of the sender's requests.
     Resync(Service, Member, Vec<Running>, Vec<PlacementRequest>),
-    /// From the scheduler, under its fencing number: where a request goes.
+    /// From the scheduler: the engine that a request is to be sent to, and the adapter version to ask for; no version
+    /// where any will do.
     Placement(Service, u64, RequestId, Server, Option<Version>),
-    /// From the scheduler: a request can't be served in time; when to come back.
+    /// From the scheduler: a request can't be served in time, and the caller may retry after the span.
     PlacementRefused(Service, u64, RequestId, Span),
-    /// From the scheduler to one VM of each availability zone: what each engine holds, for the time without a scheduler.
+    /// From the scheduler to one VM of each other availability zone: the resident adapters of each engine. VMs place
+    /// requests by them while no scheduler is reachable.
     ResidentAdapters(Service, u64, Vec<EngineResidents>),
-    /// From the VM that tells its availability zone: what the scheduler under a fencing number told it of engines.
+    /// To the other VMs of the sender's availability zone: the same, from the scheduler or from the VM of the zone to
+    /// which the scheduler with this fencing token sent it. So one message per zone crosses the border of a zone.
     RelayedResidentAdapters(Service, u64, Vec<EngineResidents>),
-    /// From the scheduler: it is there.
+    /// From the scheduler to all VMs: heartbeat.
     SchedulerHeartbeat(Service, u64),
-    /// From the scheduler, at a time of its own clock: will this VM take no leadership for a while?
+    /// From the scheduler to all VMs while the key-value service does not answer: asks the receiver not to take the
+    /// service's leadership for a fixed time. The instant is the time of the question by the scheduler's clock.
     RequestLeaseVote(Service, u64, Instant),
-    /// To the scheduler that asked so at a time of its clock: it will take none.
+    /// To the scheduler: the sender will not take the leadership. The instant is copied from the question.
     LeaseVote(Service, u64, Instant),
-    /// This VM, which is there, knows all changes of the key-value service up to the revision, and wants to be told of
-    /// later ones for a while.
+    /// To the upstream: subscribes the sender, which describes itself, to the changes of the key-value service's
+    /// entries after a revision. A subscription ends after a fixed time, and is renewed by this message.
     Subscribe(Member, Revision),
-    /// Changes of the key-value service.
+    /// To a subscriber: changes of the key-value service's entries.
     Replicate(Replication),
-    /// To a VM that counts them: servers ended while they had these requests.
+    /// To the VMs that count crashes for a request's fingerprint: servers have crashed while they had these requests.
     CrashReports(Vec<CrashReport>),
-    /// What is known of requests that servers have ended under.
+    /// To any VM: the quarantine status of requests under which servers have crashed.
     QuarantineStatuses(Vec<(Fingerprint, QuarantineStatus)>),
-    /// To the VM that keeps the pool of tokens: a VM runs short.
+    /// To the VM that owns the token pool: the sender's share of an account has too few tokens for a request.
     TokenRequest(TokenRequest),
-    /// From the VM that keeps the pool: the answer to a draw.
+    /// From the pool owner: the answer to a token request.
     TokenGrant(TokenGrant),
-    /// From the VM that keeps the pool: a collection with its number, for these accounts.
+    /// From the pool owner to all VMs: asks for the tokens of these accounts that the receiver does not need. The
+    /// number identifies the collection.
     CollectTokens(u64, Vec<Tenant>),
-    /// To the VM that keeps the pool: what this VM does not need, in answer to a collection.
+    /// To the pool owner: the tokens that the sender does not need, in answer to the collection with this number.
     SurplusTokens(u64, Vec<(Tenant, Tokens)>),
-    /// A server names a limit to the requests a second that it takes from all VMs together, or none any more.
+    /// The rate limit in requests a second that a server has announced for all VMs together; none where it has
+    /// withdrawn the limit. Sent to the VM that counts the server's requests, and from it to all VMs.
     ServerRateLimit(Server, Option<Rate>),
-    /// A server is leaving, as this start of it says.
+    /// A server has announced that it shuts down, with the incarnation of the process that said so where it is known.
+    /// Sent to the VM that counts the server's requests, and from it to all VMs.
     ServerLeaving(Server, Option<Incarnation>),
-    /// To the scheduler: a server has asked the sender for so much rest.
+    /// To the scheduler: a server has rejected a request of the sender and wants nothing more of it for this long.
     ServerCooldown(Server, Span),
-    /// To the VM that counts what a server is sent: may this request go there?
+    /// To the VM that counts the requests sent to a rate-limited server: asks for permission to send this request.
     SendPermitRequest(RequestId, Server),
-    /// From that VM: it may, or when to ask again.
+    /// The answer to it: the request may be sent, or the time after which to ask again.
     SendPermitReply(RequestId, Server, Result<(), Span>),
 }
 
 impl Message {
-    /// What kind of message it is, for figures.
+    /// The kind of the message, as the label of metrics.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -166,15 +181,15 @@
     }
 }
 
-/// Messages as bytes for another VM; none where they can't be written, which no message of this module is.
+/// Encodes messages for another VM. Returns `None` if one can't be encoded, which is true of no type in this module.
 #[must_use]
 pub fn encode(messages: &[Message]) -> Option<Vec<u8>> {
     encode_each(messages, |_, _| {})
 }
 
-/// The same; `each` is given every message with its bytes.
+/// Encodes messages and calls `each` with every message and its encoded size in bytes.
 pub fn encode_each(messages: &[Message], mut each: impl FnMut(&Message, usize)) -> Option<Vec<u8>> {
-    // A list is written as its length and its items.
+    // The format of a sequence is its length followed by its items, so the result is that of encoding the slice.
     let mut bytes = postcard::to_stdvec(&messages.len()).ok()?;
     for message in messages {
         let before = bytes.len();
@@ -184,7 +199,7 @@
     Some(bytes)
 }
 
-/// Messages of another VM; none where the bytes are of a version that this one does not know.
+/// Decodes messages of another VM. Returns `None` if the bytes come from a version of the protocol unknown here.
 #[must_use]
 pub fn decode(bytes: &[u8]) -> Option<Vec<Message>> {
     postcard::from_bytes(bytes).ok()
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of what a gateway does, by service.
+//! Functions that append samples of metrics to a step's effects.
 
 use std::borrow::Cow;
 
@@ -9,27 +9,27 @@
 use crate::account::Tokens;
 use crate::effect::{Effect, Effects};
 
-/// Counts one of a figure for a service.
+/// Adds one to a counter of a service.
 pub(crate) fn count_for_service(
     out: &mut Effects,
     figure: Figure,
     service: &Service,
     label: &'static str,
 ) {
-    put(out, figure, 1.0, Some(service), Some(label));
+    push_sample(out, figure, 1.0, Some(service), Some(label));
 }
 
-/// Observes a time of a figure for a service.
+/// Records a duration of a service, in seconds.
 pub(crate) fn observe_seconds(out: &mut Effects, figure: Figure, service: &Service, span: Span) {
-    put(out, figure, span.as_secs_f64(), Some(service), None);
+    push_sample(out, figure, span.as_secs_f64(), Some(service), None);
 }
 
-/// Counts one of a figure that belongs to no service.
+/// Adds one to a counter that has no service label.
 pub(crate) fn count_global(out: &mut Effects, figure: Figure, label: &'static str) {
-    put(out, figure, 1.0, None, Some(label));
+    push_sample(out, figure, 1.0, None, Some(label));
 }
 
-/// Counts tokens of a client account.
+/// Adds tokens to the counter of a client account.
 pub(crate) fn count_tokens(
     out: &mut Effects,
     account: Option<&Tenant>,
@@ -45,7 +45,8 @@
     }));
 }
 
-fn put(
+/// Appends a sample with the labels of a service and a kind of event.
+fn push_sample(
     out: &mut Effects,
     figure: Figure,
     value: f64,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told at its start, and the figures behind its decisions.
+//! The settings of one entry VM, and the tuning parameters of its decisions.
 
 use std::net::SocketAddr;
 
@@ -7,100 +7,105 @@
 
 use crate::feature::{DisabledFeatures, Feature};
 
-/// What one entry VM is told.
+/// The settings of one entry VM, fixed at its start except for `tuning`.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name.
+    /// The name of the VM.
     pub vm: Vm,
     /// Its availability zone.
     pub zone: Zone,
-    /// Where other VMs reach it.
+    /// The address at which other VMs reach it.
     pub address: SocketAddr,
-    /// Its start, larger than that of every earlier start.
+    /// The incarnation of this process, which tells it from earlier processes of the same VM.
     pub incarnation: Incarnation,
-    /// How much it can do for others: the smaller of its share of a core in hundredths and its link in Mbit/s, since what a
-    /// scheduler uses of both is alike at the larger deployments (5 hundredths and 5 Mbit/s).
+    /// Capacity of the VM for work that it does on behalf of others, such as scheduling: the smaller of its share of a
+    /// core in hundredths and its link in Mbit/s. Both count alike, since a scheduler of the larger deployments uses 5
+    /// hundredths of a core and 5 Mbit/s.
     pub strength: u32,
-    /// The seed of its random numbers.
+    /// The seed of its random number generator.
     pub seed: u64,
-    /// Addresses of some other VMs, possibly stale.
+    /// Addresses of some other VMs, possibly stale. They are asked while no VM is known and the key-value service does
+    /// not answer.
     pub seeds: Vec<SocketAddr>,
-    /// The figures.
+    /// The tuning parameters.
     pub tuning: Tuning,
     /// The features that are switched off.
     pub without: DisabledFeatures,
 }
 
 impl Settings {
-    /// Whether a feature is in use.
+    /// Whether a feature is enabled.
     #[must_use]
     pub fn uses(&self, feature: Feature) -> bool {
         self.without.uses(feature)
     }
 }
 
-/// The figures behind the decisions.
+/// The tuning parameters of the decisions: timeouts, intervals and limits. A reload of the settings file replaces them.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// How long the lease of this VM's own entry lives without a renewal: longer than three renewals that fail, so that an outage of
-    /// seconds ends none.
+    /// Time to live of the lease of this VM's own entry in the key-value service. Three renewals may fail within it, so
+    /// an outage of some seconds does not remove the entry.
     pub entry_lease: Span,
-    /// The time between renewals of it: three fit into the lease. It is what an idle VM costs the service.
+    /// Interval between renewals of that lease; three fit into its time to live. The renewals are all that an idle VM
+    /// costs the key-value service.
     pub entry_renew: Span,
-    /// How long the lease of a leadership lives without a renewal. Twice the shortest that the service grants: one lost renewal must
-    /// not end it.
+    /// Time to live of the lease of a VM's leaderships. Twice the shortest that the key-value service grants, since one
+    /// lost renewal must not end it.
     pub lease: Span,
-    /// The time between renewals: four fit into a lease.
+    /// Interval between renewals of that lease; four fit into its time to live.
     pub renew: Span,
-    /// How long before the end of its lease a holder stops where servers don't check fencing numbers, for orders
-    /// that are on their way.
+    /// Where servers do not check fencing tokens, the time before the end of its lease at which the holder of a
+    /// leadership stops scheduling, so that orders in flight arrive before another VM can take the leadership.
     pub lease_guard: Span,
-    /// Whether servers refuse an order under an old fencing number.
+    /// Whether servers reject an order with a stale fencing token.
     pub fencing: bool,
-    /// How long a watch waits at the key-value service. Short, since only its answers show that the way there is good,
-    /// and others rely on it; three VMs make six such calls a second at most.
+    /// The time after which a watch of the key-value service returns without changes. Short, since only its answers
+    /// show that the service is reachable, on which other VMs rely; three VMs make at most six such calls a second.
     pub watch: Span,
-    /// The pause after a call of the key-value service that failed.
+    /// Delay before a failed call of the key-value service is retried.
     pub store_retry: Span,
-    /// How long a server whose entry lapsed while the key-value service was away may still come back.
+    /// How long a server whose entry is missing after an outage of the key-value service is still used, since its lease
+    /// may have expired only because it could not be renewed.
     pub lapse_grace: Span,
-    /// The time an adapter takes from the weight store until one was measured.
+    /// The assumed time to load an adapter from the weight store until one has been measured.
     pub adapter_load: Span,
-    /// How long an order may stay without an answer before it is repeated: several round trips between zones. Each further
-    /// copy has twice the time of the one before, since a VM that is busy hears answers late.
+    /// Timeout of an order to a server, after which it is retried: several round trips between zones. It doubles with
+    /// each retry, since a busy VM reads answers late.
     pub order_timeout: Span,
-    /// How long an engine's report may take: less than the time after which it is asked for again, and twice that of an
-    /// order, as a VM that has just taken its leadership asks for all at once.
+    /// Timeout of an engine's report: shorter than the interval between two reports of an engine, and twice that of an
+    /// order, since a VM that has just won a leadership asks for the reports of all engines at once.
     pub report_timeout: Span,
-    /// Loads of adapters under way over all engines of a service, for each hundred engines. Beyond what the weight
-    /// store gives at full speed each load takes longer in proportion, and below it loads wait though they need not.
+    /// Limit on concurrent adapter loads over all engines of a service, per hundred engines. With more loads than the
+    /// weight store serves at full speed each takes longer in proportion; with a lower limit loads wait needlessly.
     pub loads_per_hundred: usize,
-    /// Adapters on their way to one server at most: a limit of the servers.
+    /// Limit on concurrent adapter loads of one server, set by the servers.
     pub loads_per_server: usize,
-    /// Requests that the scheduler gives one engine at once. Fewer than the batch holds, since what waits at an
-    /// engine can't go elsewhere any more.
+    /// Limit on the requests that the scheduler has running at one engine. Below the engine's batch size, since a
+    /// request that is queued at an engine can't be sent to another one.
     pub running_per_engine: u32,
-    /// Prompt work that the scheduler gives one engine at once, the new request's included; a longer prompt goes to an engine that
-    /// reads nothing. Prompts that follow each other without a gap hold up the streams of their engine, each step of which
-    /// reads a piece of them, and what waits at an engine can't go elsewhere.
+    /// Limit on the prefill time that the scheduler has pending at one engine, the new request's included; a prompt
+    /// that takes longer by itself goes to an engine without pending prefill. Prompts that follow each other
+    /// without a gap delay the streams of their engine, since each of its steps then reads a piece of a prompt; and
+    /// a request that is queued at an engine can't be sent to another one.
     pub backlog: Span,
-    /// The share of a service's requests that may be sent a second time, over all VMs.
+    /// Retry budget: the fraction of a service's requests that may be retried, over all VMs.
     pub retry_ratio: f64,
-    /// Second sends over all VMs in a window that are allowed besides the share.
+    /// Retry budget: retries in a window that are allowed in addition to that fraction, over all VMs.
     pub retry_extra: f64,
-    /// The length of that window.
+    /// Length of the window of the retry budget.
     pub retry_window: Span,
-    /// The window in which the use of client accounts is counted against their limits.
+    /// Length of the sliding window in which the tokens of a client account are counted against its limit.
     pub quota_window: Span,
-    /// The part of a limit by which a window may exceed it.
+    /// The fraction by which the tokens of a window may exceed an account's limit.
     pub quota_overage: f64,
-    /// The tokens by which it may besides.
+    /// The number of tokens by which they may exceed it in addition.
     pub quota_slack: f64,
-    /// How long a server that leaves takes requests of VMs that know of it.
+    /// How long a server still accepts requests after it has announced that it shuts down.
     pub drain: Span,
-    /// How long the platform needs to see that a VM is leaving, before it may close connections.
+    /// How long a VM that stops keeps accepting connections, so that the platform notices that it is not ready.
     pub leave: Span,
-    /// The longest a graceful stop may take.
+    /// Limit on the duration of a graceful stop.
     pub grace: Span,
 }
 
