--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: whose request it is, by the key that it bears, and how much each account may use.
+//! Client accounts: finds the account of a request by its API key, and enforces the quota of each account.
 
 pub mod key;
 pub mod quota;
@@ -21,21 +21,23 @@
 use crate::node::Gateway;
 use crate::request::state::refusal;
 
-/// How old the newest word of the key-value service may be for a key that is not in the configuration to count as unknown. A VM
-/// that is well hears within 1.4 s; one that heard longer ago may lack the version that holds the key.
-const CERTAIN: Span = Span::from_millis(1_500);
+/// The largest age of the key-value service's last answer with which a key that is not in the configuration counts as
+/// unknown. A healthy VM learns of an answer within 1.4 s; with an older answer the VM may not know the version of the
+/// configuration that holds the key.
+const MAX_ANSWER_AGE: Span = Span::from_millis(1_500);
 
-/// When a caller may come back whose key this VM may not know yet: about the time in which a VM turns to another one for changes.
-const CONFIRMED_WITHIN: Span = Span::from_millis(700);
+/// The time after which a caller may retry if this VM may not know its key yet: about the time in which a VM without
+/// news of the key-value service subscribes at another upstream.
+const UNCONFIRMED_RETRY_AFTER: Span = Span::from_millis(700);
 
-macro_rules! numbers {
+macro_rules! number_types {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number for reckoning.
+            /// The number as a float, for arithmetic with fractions.
             #[must_use]
             #[allow(clippy::cast_precision_loss)]
             pub const fn as_f64(self) -> f64 {
@@ -59,68 +61,68 @@
     )*};
 }
 
-numbers! {
-    /// A number of tokens, or of requests where an account counts those.
+number_types! {
+    /// A number of tokens, or of requests for an account with [`Unit::Requests`].
     Tokens;
-    /// Tokens a second.
+    /// A rate in tokens per second.
     TokenRate;
 }
 
-/// What a request counts as.
+/// What the quota of an account counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
-    /// One.
+    /// Requests: each counts as 1.
     Requests,
-    /// The tokens that it names; those given here where it names none.
+    /// Tokens: a request counts as the number that the caller gives, or as this number if the caller gives none.
     Tokens(Tokens),
 }
 
-/// How much an account may use over all VMs.
+/// The quota of an account over all VMs together: a token bucket's rate and burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenLimit {
-    /// Without end.
+    /// Tokens per second in the long run.
     pub rate: TokenRate,
-    /// Besides, at once.
+    /// Tokens that may be used in addition at one time.
     pub burst: Tokens,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// Its name.
+    /// The name of the account.
     pub name: Tenant,
-    /// The keys that its callers bear.
+    /// The API keys of its callers.
     pub keys: Vec<AccountKey>,
-    /// The rank of its requests, 0 first; none where that of the route counts.
+    /// The priority of its requests, lower numbers first; none where that of the route applies.
     pub priority: Option<u8>,
-    /// What its requests count as.
+    /// What its quota counts.
     pub unit: Unit,
-    /// How much it may use; none for any amount.
+    /// Its quota; none for unlimited use.
     pub limit: Option<TokenLimit>,
 }
 
 impl Account {
-    /// What a request counts as that names so many tokens.
+    /// The number of tokens to charge for a request, given the number that the caller gives.
     #[must_use]
-    pub fn cost(&self, named: Option<Tokens>) -> Tokens {
+    pub fn cost(&self, given: Option<Tokens>) -> Tokens {
         match self.unit {
             Unit::Requests => Tokens(1),
-            Unit::Tokens(plain) => named.unwrap_or(plain),
+            Unit::Tokens(default) => given.unwrap_or(default),
         }
     }
 }
 
-/// Finds the account of a key.
+/// The accounts of a configuration by API key.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    /// Whether requests need a key at all.
+pub struct AccountIndex {
+    /// Whether requests need a key. It is false if the configuration has no accounts.
     required: bool,
-    /// The accounts by key.
+    /// The account that holds each key.
     by_key: FxHashMap<AccountKey, Arc<Account>>,
 }
 
-impl Table {
-    /// The accounts of a configuration.
+impl AccountIndex {
+    /// Builds the index of a configuration.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let accounts = config.accounts.iter().flatten();
@@ -139,39 +141,45 @@
 }
 
 impl Gateway {
-    /// The account of a request, none where it needs none; or why the request can't be taken.
+    /// Finds the account of a request. Returns `None` if the request needs no account, and an error if it must be
+    /// refused.
     pub(crate) fn identify(
         &self,
         route: &Route,
-        call: &CallerRequest,
+        caller_request: &CallerRequest,
     ) -> Result<Option<Arc<Account>>, RefusalReason> {
         let accounts = self.index.accounts();
-        let account = call.key.as_ref().and_then(|key| accounts.find(key));
+        let account = caller_request
+            .key
+            .as_ref()
+            .and_then(|key| accounts.find(key));
         match account {
             Some(account) => Ok(Some(account.clone())),
             None if route.public || !accounts.required => Ok(None),
-            None if self.store_answer_age() <= CERTAIN => Err(RefusalReason::UnknownKey),
+            None if self.store_answer_age() <= MAX_ANSWER_AGE => Err(RefusalReason::UnknownKey),
             None => Err(RefusalReason::UnconfirmedKey),
         }
     }
 
-    /// Refuses a request that bears no key of an account.
+    /// Refuses a request without the key of any known account.
     pub(crate) fn refuse_unidentified(
         &self,
         request: RequestId,
-        call: &CallerRequest,
+        caller_request: &CallerRequest,
         reason: RefusalReason,
         out: &mut Effects,
     ) {
         let (why, after) = match reason {
-            RefusalReason::UnconfirmedKey => ("key_unconfirmed", Some(CONFIRMED_WITHIN)),
+            RefusalReason::UnconfirmedKey => ("key_unconfirmed", Some(UNCONFIRMED_RETRY_AFTER)),
             _ => ("key_unknown", None),
         };
-        let key = call.key.map_or("none".to_owned(), |key| key.to_string());
+        let key = caller_request
+            .key
+            .map_or("none".to_owned(), |key| key.to_string());
         let (version, age) = (self.config_version(), self.store_answer_age());
         let detail = format!(
             "id={} why={why} key={key} config={version} word_age={age}",
-            call.id
+            caller_request.id
         );
         Self::log(out, Code::Refused, detail);
         out.push(refusal(request, reason, after));
--- a/crates/gateway/src/account/key.rs
+++ b/crates/gateway/src/account/key.rs
@@ -1,22 +1,23 @@
-//! The keys that callers bear.
+//! The API keys by which callers identify their account.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest key in bytes.
+/// Limit on the length of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// What separates digests of keys from other digests of the same bytes.
+/// The context of the key derivation function, so that a key's digest differs from digests of the same bytes elsewhere.
 const CONTEXT: &str = "dahliastile client account key";
 
-/// A caller's key. Only its digest is kept, so that whatever holds one can neither print the key nor pass it on.
+/// The API key of a caller. It holds only a digest, so that no code can print the key or send it to anybody.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct AccountKey([u8; 32]);
 
 impl AccountKey {
-    /// The key that these bytes are; none where they can't be one.
+    /// Makes a key from its text. Returns `None` unless that is 1 to [`MAX_KEY_BYTES`] printable ASCII characters
+    /// without spaces.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Option<Self> {
         let fits = (1..=MAX_KEY_BYTES).contains(&bytes.len());
@@ -25,7 +26,7 @@
     }
 }
 
-/// In constant time.
+/// Compares the digests in constant time.
 impl PartialEq for AccountKey {
     fn eq(&self, other: &Self) -> bool {
         blake3::Hash::from_bytes(self.0) == blake3::Hash::from_bytes(other.0)
@@ -40,7 +41,7 @@
     }
 }
 
-/// The beginning of the digest, enough to tell keys apart in a log.
+/// Writes the first four bytes of the digest in hexadecimal, enough to tell keys apart in a log.
 impl fmt::Display for AccountKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for byte in &self.0[..4] {
@@ -50,6 +51,7 @@
     }
 }
 
+/// Writes the same four bytes, as `Key(01234567)`.
 impl fmt::Debug for AccountKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Key({self})")
--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -1,19 +1,23 @@
-//! The limits of client accounts, over all VMs together.
+//! The quotas of client accounts, enforced over all VMs together.
 //!
-//! Each VM has an equal share of each account's rate, which fills a [`Bucket`] of its own. Tokens only move: the VM that keeps the pool
-//! collects what others don't need and lends it to those that run short. So no window sees more than the rate and what all buckets and
-//! pools hold at once, whoever keeps a pool, how many do, and whichever messages are lost, late or doubled. What is lost is
-//! tokens.
+//! Each VM has an equal share of the rate of each account, which fills a token bucket ([`Bucket`]) of its own. One
+//! VM, the pool owner, collects tokens that other VMs do not need into a pool and grants them to VMs whose shares
+//! have too few.
 //!
-//! * An account whose VMs do with their own shares costs no message, and an idle one costs nothing.
-//! * A VM that can't reach a pool still has its share.
-//! * A bucket of a new start is empty, so a restart repeats nothing.
-//! * A request that did not run gives its tokens back; one that is sent a second time is charged once.
+//! Tokens come from the refill of the shares only; collections and grants move them from one bucket to another.
+//! Hence the tokens used in any window are at most those of the rate and the capacity of all buckets and pools.
+//! This holds whichever VM owns the pool, if several VMs do at once, and if messages are lost, delayed or
+//! duplicated: a lost message can only lose tokens.
+//!
+//! * An account for which the VMs' own shares suffice causes no messages, and an idle account costs nothing.
+//! * A VM that can't reach a pool owner still has its own share.
+//! * The bucket of a new process is empty, so that a restart does not allow the tokens of a window twice.
+//! * A request that did not run gives its tokens back. A request that is retried is charged once.
 
 pub mod bucket;
 mod charge;
-mod keeper;
 mod pool;
+mod pool_owner;
 
 use std::collections::BTreeMap;
 
@@ -30,38 +34,41 @@
 use crate::node::Gateway;
 use crate::settings::Tuning;
 
-/// The part of what may be used at once that a pool holds at most. Two pools, as while VMs disagree on who keeps it, and all shares
-/// make up the whole.
-const IN_POOL: f64 = 0.25;
+/// Capacity of a pool, as a fraction of an account's total capacity. The total is divided among two pools and the
+/// shares of all VMs, since there are two pools while VMs disagree on which one is the pool owner.
+const POOL_FRACTION: f64 = 0.25;
 
-/// The part of a burst that stays to be used at once where the limit's tolerance is smaller.
-const BURST_KEPT: f64 = 0.5;
+/// The least total capacity of an account, as a fraction of its burst. It applies where the tolerance that the tuning
+/// parameters give is smaller.
+const MIN_CAPACITY: f64 = 0.5;
 
-/// The part of the rate that is given out: what is on its way between two VMs is in no bucket.
-const GIVEN_OUT: f64 = 0.98;
+/// The fraction of an account's rate that is distributed. The rest is a margin for tokens that are in transit
+/// between two VMs and therefore count in no bucket.
+const DISTRIBUTED_RATE: f64 = 0.98;
 
-/// How long a VM that finds no entry of an earlier start uses no share of its own: those of other VMs may be missing too, and its part
-/// among them look too large.
-const SETTLED: Span = Span::from_secs(1);
+/// The time after its start for which a VM's shares are not refilled, if the key-value service has no entry of an
+/// earlier process of the VM. The entries of other VMs may be missing too, and with too few known VMs its shares of
+/// the rates would be too large.
+const STARTUP_DELAY: Span = Span::from_secs(1);
 
-/// How long the number of VMs counts that was found.
-const FLEET_AGE: Span = Span::from_millis(500);
+/// How long a computed number of VMs is used before it is computed again.
+const VM_COUNT_MAX_AGE: Span = Span::from_millis(500);
 
-/// What a VM draws from the pool.
+/// A VM's request for tokens from the pool, sent to the pool owner when its own share has too few for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRequest {
     /// The account.
     pub account: Tenant,
-    /// The number of the draw, by which its answer is known.
+    /// A random number that identifies the answer.
     pub number: u64,
-    /// The tokens of a request.
+    /// The number of tokens that a caller's request costs.
     pub tokens: Tokens,
-    /// Tokens that may come with them for the next requests.
-    pub room: Tokens,
+    /// Limit on further tokens that may be granted for later requests: the free capacity of the sender's share.
+    pub max_extra: Tokens,
 }
 
 impl TokenRequest {
-    /// The answer to it: granted with so many more tokens, or when there may be some.
+    /// Makes the answer: the requested tokens and this many more, or the time after which to retry.
     fn answer(&self, answer: Result<Tokens, Span>) -> TokenGrant {
         TokenGrant {
             account: self.account.clone(),
@@ -71,128 +78,134 @@
     }
 }
 
-/// The pool's answer to a draw.
+/// The pool owner's answer to a [`TokenRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenGrant {
     /// The account.
     pub account: Tenant,
-    /// The number of the draw.
+    /// The number of the token request.
     pub number: u64,
-    /// What was drawn may be used, and so many more tokens; or the time after which there may be some.
+    /// The requested tokens are granted, and this many more; or the time after which there may be enough.
     pub answer: Result<Tokens, Span>,
 }
 
-/// A request that waits for what was drawn for it.
+/// A caller's request that waits for tokens of the pool.
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     /// The request.
     request: RequestId,
-    /// What was drawn.
+    /// The number of tokens that it costs.
     tokens: Tokens,
-    /// The VM that was asked.
-    to: Vm,
-    /// Until when its answer is waited for.
-    until: Instant,
-    /// The VMs that were asked so far.
-    tries: u32,
+    /// The VM that was asked as the pool owner.
+    owner: Vm,
+    /// The time until which its answer is waited for.
+    deadline: Instant,
+    /// The number of VMs that were asked so far.
+    attempts: u32,
 }
 
-/// This VM's share of an account.
+/// This VM's share of the quota of an account.
 #[derive(Debug)]
 struct Share {
-    /// The account's limit.
+    /// The quota of the account over all VMs.
     limit: TokenLimit,
-    /// The tokens.
+    /// The tokens of this VM.
     bucket: Bucket,
-    /// Requests that wait for tokens, by the numbers of their draws.
-    waiting: BTreeMap<u64, Waiting>,
-    /// When a request last came.
-    used: Instant,
-    /// Until when requests that find no tokens here are refused at once, and when they may come back.
-    closed: (Instant, Instant),
-    /// When a line on its limit was last written.
-    told: Instant,
+    /// Requests that wait for tokens of the pool, by the numbers of their token requests.
+    pending: BTreeMap<u64, PendingRequest>,
+    /// The arrival time of the account's last request at this VM.
+    last_used: Instant,
+    /// The time until which requests for which the bucket has too few tokens are refused without asking the pool owner,
+    /// and the time from which their callers may retry.
+    exhausted: (Instant, Instant),
+    /// The time of the last log line on the account's limit.
+    logged: Instant,
 }
 
-/// The limits as this VM keeps them.
+/// This VM's shares of the quotas, and its pools if it is a pool owner.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// Its shares, by account that has a limit.
+    /// The shares by account, for the accounts that have a limit.
     shares: BTreeMap<Tenant, Share>,
-    /// What it lends to others.
+    /// The pools of all accounts.
     pools: Pools,
-    /// VMs that kept the pool and did not answer.
-    passed: exclusion::Exclusions,
-    /// The number of VMs, and when it was found.
-    fleet: Option<(usize, Instant)>,
-    /// When this VM started.
+    /// VMs that did not answer as the pool owner, and are not asked for some time.
+    excluded: exclusion::Exclusions,
+    /// The number of VMs, and the time at which it was computed.
+    vm_count: Option<(usize, Instant)>,
+    /// The start time of this VM's process.
     started: Instant,
-    /// Whether the key-value service still had its entry of an earlier start, and so those of other VMs.
-    returned: bool,
+    /// Whether the key-value service still had the entry of an earlier process of this VM. Then it has those of the
+    /// other VMs too, and their number is right.
+    restarted: bool,
 }
 
-/// What a limit allows: any window may see the rate for its length, and besides what is there at its begin.
+/// What a limit allows in a window: the tokens of the rate during the window, and the tokens in all buckets at its
+/// start.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
-    /// Tokens in all buckets together.
-    at_once: f64,
+    /// Capacity in tokens of all buckets together.
+    capacity: f64,
 }
 
 impl Allowance {
+    /// Splits the tokens that `limit` and its tolerance allow in a window into a rate and a capacity.
     fn new(limit: TokenLimit, tuning: &Tuning) -> Self {
         let seconds = tuning.quota_window.as_secs_f64();
         let burst = limit.burst.as_f64();
         let window = limit.rate.as_f64() * seconds + burst;
         let tolerance = window * tuning.quota_overage + tuning.quota_slack;
-        let at_once = tolerance.max(burst * BURST_KEPT);
+        let capacity = tolerance.max(burst * MIN_CAPACITY);
         Self {
-            rate: (window + tolerance - at_once) / seconds * GIVEN_OUT,
-            at_once,
+            rate: (window + tolerance - capacity) / seconds * DISTRIBUTED_RATE,
+            capacity,
         }
     }
 
-    /// What a pool holds.
+    /// The terms of a pool. Its bucket is not refilled; the rate serves to estimate when there will be tokens.
     fn pool(self) -> Terms {
         Terms {
             rate: self.rate,
-            most: self.at_once * IN_POOL,
+            most: self.capacity * POOL_FRACTION,
         }
     }
 
-    /// What one of so many VMs holds by itself.
+    /// The terms of the share of one of `vms` VMs.
     #[allow(clippy::cast_precision_loss)]
     fn share(self, vms: usize) -> Terms {
         let vms = vms as f64;
         Terms {
             rate: self.rate / vms,
-            most: self.at_once * (1.0 - 2.0 * IN_POOL) / vms,
+            most: self.capacity * (1.0 - 2.0 * POOL_FRACTION) / vms,
         }
     }
 }
 
 impl Gateway {
-    pub(crate) fn quota_start(&mut self) {
+    /// Notes the start time of the process.
+    pub(crate) fn start_quota(&mut self) {
         self.quota.started = self.now;
     }
 
-    /// The key-value service has this VM's entry of an earlier start.
+    /// Notes that the key-value service has an entry of an earlier process of this VM.
     pub(crate) fn quota_restarted(&mut self) {
-        self.quota.returned = true;
+        self.quota.restarted = true;
     }
 
-    /// The configuration has changed: accounts that are new have an empty share, others keep what still fits.
+    /// Applies the limits of a new configuration. New accounts get an empty share, others keep the tokens that
+    /// still fit. Requests of accounts without a limit in it go on uncharged.
     pub(crate) fn apply_account_limits(&mut self, out: &mut Effects) {
         let limits: BTreeMap<Tenant, TokenLimit> = self.limits_by_account().collect();
         let mut shares = std::mem::take(&mut self.quota.shares);
         for (account, limit) in &limits {
-            let (before, after) = (shares.remove(account), self.share_terms(*limit));
-            let mut share = before.unwrap_or_else(|| Share::new(*limit, self.now));
-            let terms = self.share_terms(share.limit);
-            share.bucket.refill(self.now, terms);
+            let (old_share, new_terms) = (shares.remove(account), self.share_terms(*limit));
+            let mut share = old_share.unwrap_or_else(|| Share::new(*limit, self.now));
+            let old_terms = self.share_terms(share.limit);
+            share.bucket.refill(self.now, old_terms);
             share.limit = *limit;
-            share.bucket.clip(after);
+            share.bucket.truncate(new_terms);
             self.quota.shares.insert(account.clone(), share);
         }
         let tuning = &self.settings.tuning;
@@ -200,46 +213,47 @@
             let limit = limits.get(account)?;
             Some(Allowance::new(*limit, tuning).pool())
         };
-        self.quota.pools.limit(terms);
-        // The entries of VMs may follow in the same list.
-        self.quota.fleet = None;
-        let free = shares.into_values().flat_map(|share| share.waiting);
-        let free: Vec<RequestId> = free.map(|(_, waiting)| waiting.request).collect();
-        for request in free {
+        self.quota.pools.apply_limits(terms);
+        // The list that brought the configuration may also bring entries of VMs, which are applied after it.
+        self.quota.vm_count = None;
+        let unlimited = shares.into_values().flat_map(|share| share.pending);
+        let unlimited: Vec<RequestId> = unlimited.map(|(_, pending)| pending.request).collect();
+        for request in unlimited {
             self.find_server(request, out);
         }
     }
 
+    /// The accounts with a limit in the configuration in force.
     fn limits_by_account(&self) -> impl Iterator<Item = (Tenant, TokenLimit)> {
         let accounts = self.config.iter().flat_map(|c| c.accounts.iter().flatten());
         accounts.filter_map(|account| Some((account.name.clone(), account.limit?)))
     }
 
-    /// The number of VMs among which rates are shared: those that are there, and those that were until a while ago, as they may still
-    /// use their shares.
-    fn fleet(&mut self) -> usize {
-        match self.quota.fleet {
-            Some((vms, found)) if self.now.since(found) < FLEET_AGE => vms,
+    /// The number of VMs that share the rates: those that are present, and those that were until recently, since
+    /// they may only be cut off and still use their shares.
+    fn vm_count(&mut self) -> usize {
+        match self.quota.vm_count {
+            Some((vms, computed)) if self.now.since(computed) < VM_COUNT_MAX_AGE => vms,
             _ => {
                 let vms = self.membership.recent_count(self.now, &self.settings.vm) + 1;
-                self.quota.fleet = Some((vms, self.now));
+                self.quota.vm_count = Some((vms, self.now));
                 vms
             }
         }
     }
 
-    /// This VM's part of a limit.
+    /// The terms of this VM's share of a limit. Its rate is zero during the startup delay.
     fn share_terms(&mut self, limit: TokenLimit) -> Terms {
-        let vms = self.fleet();
+        let vms = self.vm_count();
         let terms = Allowance::new(limit, &self.settings.tuning).share(vms);
-        let settled = self.quota.returned || self.now.since(self.quota.started) >= SETTLED;
+        let started = self.quota.restarted || self.now.since(self.quota.started) >= STARTUP_DELAY;
         Terms {
-            rate: if settled { terms.rate } else { 0.0 },
+            rate: if started { terms.rate } else { 0.0 },
             ..terms
         }
     }
 
-    /// This VM's share of an account with what has come until now, if that account has a limit.
+    /// This VM's share of an account, refilled up to now, with its terms. `None` if the account has no limit.
     fn share(&mut self, account: &Tenant) -> Option<(&mut Share, Terms)> {
         let limit = self.quota.shares.get(account)?.limit;
         let terms = self.share_terms(limit);
@@ -248,20 +262,22 @@
         Some((share, terms))
     }
 
-    /// Looks at draws that have no answer, and at what waits in the pool.
+    /// Handles the quota timer: refuses token requests that waited in the pool for too long, collects tokens if that is
+    /// due, and retries this VM's token requests whose answer is overdue.
     pub(crate) fn handle_quota_timer(&mut self, out: &mut Effects) {
         let now = self.now;
         let mut answers = Vec::new();
         self.quota.pools.expire(now, &mut answers);
-        self.answer_draws(answers, out);
-        self.collect(out);
-        self.draw_elsewhere(|waiting| waiting.until <= now, out);
+        self.send_token_grants(answers, out);
+        self.collect_if_due(out);
+        self.retry_token_requests(|pending| pending.deadline <= now, out);
     }
 
-    /// No link to a VM can be made, or it is gone.
+    /// Handles the loss of the connection to a VM: drops the VM's token requests, and sends this VM's token requests to
+    /// another pool owner if that VM was asked.
     pub(crate) fn quota_vm_down(&mut self, vm: &Vm, out: &mut Effects) {
-        self.quota.pools.vm_gone(vm);
-        self.draw_elsewhere(|waiting| waiting.to == *vm, out);
+        self.quota.pools.remove_vm(vm);
+        self.retry_token_requests(|pending| pending.owner == *vm, out);
     }
 }
 
@@ -270,10 +286,10 @@
         Self {
             limit,
             bucket: Bucket::new(now),
-            waiting: BTreeMap::new(),
-            used: Instant::default(),
-            closed: (Instant::default(), Instant::default()),
-            told: Instant::default(),
+            pending: BTreeMap::new(),
+            last_used: Instant::default(),
+            exhausted: (Instant::default(), Instant::default()),
+            logged: Instant::default(),
         }
     }
 }
--- a/crates/gateway/src/account/quota/bucket.rs
+++ b/crates/gateway/src/account/quota/bucket.rs
@@ -1,95 +1,97 @@
-//! Tokens that come in at a rate and are taken out.
+//! Token bucket: tokens are added at a rate up to a capacity and taken by requests.
 
 use dahliastile_core::time::{Instant, Span};
 
 use crate::account::Tokens;
 
-/// What a bucket holds and gets.
+/// The rate and capacity of a bucket. They are passed to each operation, since they change with the number of VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Tokens that come in a second.
+    /// Tokens added per second.
     pub rate: f64,
-    /// Tokens that it holds at most.
+    /// Capacity in tokens.
     pub most: f64,
 }
 
-/// Tokens, empty at first: a start that filled it would forget what an earlier start has taken.
+/// A token bucket. It starts empty, since a process that starts with a full bucket would ignore what the process before
+/// it has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
-    /// The tokens there at a time.
+    /// The number of tokens at `refilled`; negative while tokens are owed.
     balance: f64,
-    /// That time.
-    at: Instant,
+    /// The time of the last refill.
+    refilled: Instant,
 }
 
 impl Bucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
             balance: 0.0,
-            at: now,
+            refilled: now,
         }
     }
 
-    /// Lets in what has come until now. More than fits stays if it was there before.
+    /// Adds the tokens since the last refill, up to the capacity. A balance above the capacity is kept.
     pub fn refill(&mut self, now: Instant, terms: Terms) {
-        let came = terms.rate * now.since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.balance = (self.balance + came).min(terms.most.max(self.balance));
+        let added = terms.rate * now.since(self.refilled).as_secs_f64();
+        self.refilled = self.refilled.max(now);
+        self.balance = (self.balance + added).min(terms.most.max(self.balance));
     }
 
-    /// Gives up what the terms no longer allow.
-    pub fn clip(&mut self, terms: Terms) {
+    /// Drops the tokens above the capacity.
+    pub fn truncate(&mut self, terms: Terms) {
         self.balance = self.balance.min(terms.most);
     }
 
-    /// The tokens there.
+    /// The number of tokens; negative while tokens are owed.
     #[must_use]
     pub fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// Takes so many tokens, if they are there.
+    /// Takes tokens if there are enough. Returns whether it did.
     pub fn take(&mut self, tokens: Tokens) -> bool {
-        let there = self.balance >= tokens.as_f64();
-        if there {
+        let enough = self.balance >= tokens.as_f64();
+        if enough {
             self.balance -= tokens.as_f64();
         }
-        there
+        enough
     }
 
-    /// Takes whole tokens that are there beyond a reserve, as many as that and at most so many.
-    pub fn take_beyond(&mut self, reserve: f64, most: Tokens) -> Tokens {
-        let there = whole(self.balance - reserve).min(most);
-        self.balance -= there.as_f64();
-        there
+    /// Takes the whole tokens above `reserve`, but at most `most`. Returns how many it took.
+    pub fn take_above(&mut self, reserve: f64, most: Tokens) -> Tokens {
+        let taken = whole(self.balance - reserve).min(most);
+        self.balance -= taken.as_f64();
+        taken
     }
 
-    /// How many whole tokens more it may hold.
+    /// The number of whole tokens that can be added up to the capacity.
     #[must_use]
-    pub fn room(&self, terms: Terms) -> Tokens {
+    pub fn free_capacity(&self, terms: Terms) -> Tokens {
         whole(terms.most - self.balance)
     }
 
-    /// Takes so many tokens, and owes what is not there.
-    pub fn lend(&mut self, tokens: Tokens) {
+    /// Takes tokens even if there are too few, which makes the balance negative.
+    pub fn take_unchecked(&mut self, tokens: Tokens) {
         self.balance -= tokens.as_f64();
     }
 
-    /// Puts tokens in, but never more than the bucket may hold.
-    pub fn put(&mut self, tokens: Tokens, most: f64) {
+    /// Adds tokens up to a balance of `most`. A balance above that is kept.
+    pub fn add(&mut self, tokens: Tokens, most: f64) {
         self.balance = (self.balance + tokens.as_f64()).min(most.max(self.balance));
     }
 }
 
-// It is whole, not negative, and no larger than a limit of the configuration.
+/// Rounds down to whole tokens; negative numbers become 0.
+// The number is not negative, and no larger than a limit of the configuration.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn whole(tokens: f64) -> Tokens {
     Tokens(tokens.max(0.0) as u64)
 }
 
-/// How long it takes until so many tokens have come in.
+/// The time in which `tokens` tokens are added at `rate` tokens per second; the longest possible span for a rate of 0.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn wait(tokens: f64, rate: f64) -> Span {
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -1,4 +1,4 @@
-//! A VM that charges requests to their accounts: from its own share, and from the pool where that is short.
+//! Charges requests to their accounts: from this VM's share, or with tokens from the pool owner if that has too few.
 
 use std::cmp::Reverse;
 
@@ -7,7 +7,7 @@
 use dahliastile_core::time::{Instant, Span};
 use rand::Rng;
 
-use super::{TokenGrant, TokenRequest, Waiting, pool};
+use super::{PendingRequest, TokenGrant, TokenRequest, pool};
 use crate::account::Tokens;
 use crate::cluster::membership;
 use crate::effect::Effects;
@@ -19,26 +19,28 @@
 use crate::request::state::{Phase, RefusalDetail};
 use crate::timer::Timer;
 
-/// How much longer than a pool has a draw may stay without an answer before another VM is asked.
+/// How much longer than the interval between collections a VM waits for the pool owner's answer before it asks another
+/// VM.
 const ANSWER_MARGIN: Span = Span::from_millis(150);
 
-/// VMs that are asked before a request is refused.
-const TRIES: u32 = 2;
+/// The number of VMs that are asked for tokens before a request is refused.
+const MAX_ATTEMPTS: u32 = 2;
 
-/// How long a VM that did not answer is not asked again.
-const PASSED_BY: Span = Span::from_secs(4);
+/// How long a VM that did not answer a token request is not asked again.
+const EXCLUSION_TIME: Span = Span::from_secs(4);
 
-/// How long the pool's word that an account has no tokens left counts for further requests.
-const CLOSED: Span = Span::from_millis(100);
+/// How long requests of an account are refused without asking after the pool owner has refused one, at most.
+const EXHAUSTED_TIME: Span = Span::from_millis(100);
 
-/// When a caller may come back if no pool answers.
-const COME_BACK: Span = Span::from_millis(500);
+/// The time after which a caller may retry if no pool owner answers.
+const RETRY_AFTER: Span = Span::from_millis(500);
 
-/// How long after its last request an account counts as used at a VM.
+/// The time after its last request at a VM for which an account counts as in use there. A VM gives up no tokens of an
+/// account in use.
 const IN_USE: Span = Span::from_millis(500);
 
 impl Gateway {
-    /// Charges a request to its account, if that has a limit, and goes on with it when there are tokens.
+    /// Charges a request to its account, if that has a limit, and looks for a server once it is charged.
     pub(crate) fn charge(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
         let Some(state) = self.in_flight.get(&request) else {
@@ -53,21 +55,21 @@
         let Some((share, _)) = self.share(&account) else {
             return;
         };
-        share.used = now;
-        let (closed, retry_after) = share.closed;
+        share.last_used = now;
+        let (exhausted_until, retry_at) = share.exhausted;
         if share.bucket.take(cost) {
-            self.charged(request, out);
-        } else if now < closed {
-            self.over_limit(request, retry_after.since(now), out);
+            self.admit_charged(request, out);
+        } else if now < exhausted_until {
+            self.refuse_over_limit(request, retry_at.since(now), out);
         } else if self.settings.uses(Feature::TokenPool) {
-            self.draw(&account, request, 1, out);
+            self.request_tokens(&account, request, 1, out);
         } else {
-            self.over_limit(request, COME_BACK, out);
+            self.refuse_over_limit(request, RETRY_AFTER, out);
         }
     }
 
-    /// A request's tokens are taken.
-    fn charged(&mut self, request: RequestId, out: &mut Effects) {
+    /// Marks a request as charged and looks for a server.
+    fn admit_charged(&mut self, request: RequestId, out: &mut Effects) {
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.charged = true;
             let account = state.account.as_ref().map(|account| &account.name);
@@ -76,7 +78,7 @@
         self.find_server(request, out);
     }
 
-    /// Gives the tokens of a request back that did not run.
+    /// Gives back the tokens of a request that did not run, if it was charged.
     pub(crate) fn refund(&mut self, request: RequestId) {
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
@@ -84,22 +86,29 @@
         let charged = std::mem::take(&mut state.charged);
         let (cost, account) = (state.cost, state.account.clone());
         if let Some(account) = account.filter(|_| charged) {
-            self.give_back(&account.name, cost);
+            self.return_tokens(&account.name, cost);
         }
     }
 
-    /// Puts tokens that were not used into this VM's share, one request's even where it holds less.
-    fn give_back(&mut self, account: &Tenant, tokens: Tokens) {
+    /// Adds unused tokens of one request to this VM's share, also where the request costs more than the share's
+    /// capacity.
+    fn return_tokens(&mut self, account: &Tenant, tokens: Tokens) {
         if let Some((share, terms)) = self.share(account) {
             let most = terms.most.max(tokens.as_f64());
-            share.bucket.put(tokens, most);
+            share.bucket.add(tokens, most);
         }
     }
 
-    /// Draws the tokens of a request from the pool.
-    fn draw(&mut self, account: &Tenant, request: RequestId, tries: u32, out: &mut Effects) {
-        let until = self.now + pool::pause(self.fleet()) + ANSWER_MARGIN;
-        let (to, number) = (self.pool_keeper(), self.rng.random());
+    /// Asks the pool owner for the tokens of a request, as the `attempts`-th VM.
+    fn request_tokens(
+        &mut self,
+        account: &Tenant,
+        request: RequestId,
+        attempts: u32,
+        out: &mut Effects,
+    ) {
+        let deadline = self.now + pool::collection_interval(self.vm_count()) + ANSWER_MARGIN;
+        let (owner, number) = (self.pool_owner(), self.rng.random());
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
@@ -108,40 +117,41 @@
         let Some((share, terms)) = self.share(account) else {
             return;
         };
-        let draw = TokenRequest {
+        let token_request = TokenRequest {
             account: account.clone(),
             number,
             tokens,
-            room: share.bucket.room(terms),
+            max_extra: share.bucket.free_capacity(terms),
         };
-        let waiting = Waiting {
+        let pending = PendingRequest {
             request,
             tokens,
-            to: to.clone(),
-            until,
-            tries,
+            owner: owner.clone(),
+            deadline,
+            attempts,
         };
-        share.waiting.insert(number, waiting);
-        if to == self.settings.vm {
-            self.drawn(&to, draw, out);
+        share.pending.insert(number, pending);
+        if owner == self.settings.vm {
+            self.handle_token_request(&owner, token_request, out);
         } else {
-            self.timers.set_once(until, Timer::Quota);
-            self.send(&to, Message::TokenRequest(draw), out);
+            self.timers.set_once(deadline, Timer::Quota);
+            self.send(&owner, Message::TokenRequest(token_request), out);
         }
     }
 
-    /// The VM that keeps the pool, as this one sees it: a strong one that is there and schedules nothing.
-    fn pool_keeper(&self) -> Vm {
+    /// The pool owner, as this VM sees it. Of the VMs that are present it prefers those that schedule nothing, then the
+    /// strongest, then the first by rendezvous hashing.
+    fn pool_owner(&self) -> Vm {
         let now = self.now;
-        let passed = |vm: &Vm| self.quota.passed.contains(vm, now);
+        let excluded = |vm: &Vm| self.quota.excluded.contains(vm, now);
         let schedules = |vm: &Vm| {
             self.scheduler_clients
                 .values()
-                .any(|a| a.holder.as_ref() == Some(vm))
+                .any(|client| client.holder.as_ref() == Some(vm))
         };
         let me = &self.settings.vm;
         let peers = self.peers();
-        let peers = peers.filter(|vm| !self.membership.is_down(vm) && !passed(vm));
+        let peers = peers.filter(|vm| !self.membership.is_down(vm) && !excluded(vm));
         let rank = |vm: &Vm| {
             let strength = Reverse(self.strength(vm));
             (
@@ -150,36 +160,37 @@
                 membership::rendezvous_score(&("pool", vm.as_str())),
             )
         };
-        let keeper = peers.chain([me]).min_by_key(|vm| rank(vm));
-        keeper.unwrap_or(me).clone()
+        let owner = peers.chain([me]).min_by_key(|vm| rank(vm));
+        owner.unwrap_or(me).clone()
     }
 
-    /// The VM that keeps the pool collects.
-    pub(crate) fn collected(
+    /// Answers a collection of the pool owner with the tokens that this VM does not need.
+    pub(crate) fn handle_collect_tokens(
         &mut self,
         from: &Vm,
         number: u64,
         accounts: &[Tenant],
         out: &mut Effects,
     ) {
-        let surplus = self.surplus(accounts);
+        let surplus = self.take_surplus(accounts);
         if !surplus.is_empty() {
             self.send(from, Message::SurplusTokens(number, surplus), out);
         }
     }
 
-    /// Takes out what this VM does not need of some accounts: all that is here, where no request has come for a while.
-    pub(super) fn surplus(&mut self, accounts: &[Tenant]) -> Vec<(Tenant, Tokens)> {
+    /// Takes the tokens that this VM does not need out of its shares of `accounts`: all tokens of each account that
+    /// is not in use here.
+    pub(super) fn take_surplus(&mut self, accounts: &[Tenant]) -> Vec<(Tenant, Tokens)> {
         let now = self.now;
         let mut surplus = Vec::new();
         for account in accounts {
             let Some((share, _)) = self.share(account) else {
                 continue;
             };
-            if now.since(share.used) < IN_USE {
+            if now.since(share.last_used) < IN_USE {
                 continue;
             }
-            let tokens = share.bucket.take_beyond(0.0, Tokens(u64::MAX));
+            let tokens = share.bucket.take_above(0.0, Tokens(u64::MAX));
             if tokens > Tokens(0) {
                 surplus.push((account.clone(), tokens));
             }
@@ -187,37 +198,38 @@
         surplus
     }
 
-    /// The pool answers a draw of this VM.
-    pub(crate) fn granted(&mut self, grant: &TokenGrant, out: &mut Effects) {
+    /// Handles the pool owner's answer to a token request of this VM.
+    pub(crate) fn handle_token_grant(&mut self, grant: &TokenGrant, out: &mut Effects) {
         let now = self.now;
         let Some((share, terms)) = self.share(&grant.account) else {
             return;
         };
-        let Some(waiting) = share.waiting.remove(&grant.number) else {
+        let Some(pending) = share.pending.remove(&grant.number) else {
             return;
         };
-        let Waiting {
+        let PendingRequest {
             request, tokens, ..
-        } = waiting;
+        } = pending;
         match grant.answer {
             Ok(more) => {
-                share.bucket.put(more, terms.most);
-                // The caller may have left meanwhile.
+                share.bucket.add(more, terms.most);
+                // The caller may have left in the meantime.
                 if self.in_flight.contains_key(&request) {
-                    self.charged(request, out);
+                    self.admit_charged(request, out);
                 } else {
-                    self.give_back(&grant.account, tokens);
+                    self.return_tokens(&grant.account, tokens);
                 }
             }
             Err(after) => {
-                share.closed = (now + CLOSED.min(after), now + after);
-                self.over_limit(request, after, out);
+                share.exhausted = (now + EXHAUSTED_TIME.min(after), now + after);
+                self.refuse_over_limit(request, after, out);
             }
         }
     }
 
-    /// Refuses a request that its account has no tokens for. Callers are told times that differ, so that they don't come back together.
-    fn over_limit(&mut self, request: RequestId, after: Span, out: &mut Effects) {
+    /// Refuses a request for which its account has too few tokens. Up to half of `after` is added at random, so that
+    /// callers do not retry all at once.
+    fn refuse_over_limit(&mut self, request: RequestId, after: Span, out: &mut Effects) {
         let spread = Span(self.rng.random_range(0..=after.0 / 2));
         if let Some(state) = self.in_flight.get(&request) {
             let account = state.account.as_ref().map(|account| &account.name);
@@ -226,36 +238,46 @@
         self.refuse_request(request, Some(after + spread), RefusalDetail::OverLimit, out);
     }
 
-    /// Has another VM asked for what some draws are to bring, or refuses the requests that wait for them.
-    pub(super) fn draw_elsewhere(&mut self, which: impl Fn(&Waiting) -> bool, out: &mut Effects) {
-        let mut failed: Vec<(Tenant, Waiting)> = Vec::new();
+    /// Excludes the pool owners of the token requests that `has_failed` selects, and asks another VM for the
+    /// tokens; after [`MAX_ATTEMPTS`] refuses the callers' requests. Sets the timer for the deadlines of the
+    /// others.
+    pub(super) fn retry_token_requests(
+        &mut self,
+        has_failed: impl Fn(&PendingRequest) -> bool,
+        out: &mut Effects,
+    ) {
+        let mut failed: Vec<(Tenant, PendingRequest)> = Vec::new();
         let mut next = Instant::NEVER;
         for (account, share) in &mut self.quota.shares {
-            let unanswered = share.waiting.extract_if(.., |_, waiting| which(waiting));
-            failed.extend(unanswered.map(|(_, waiting)| (account.clone(), waiting)));
-            let ends = share.waiting.values().map(|w| w.until);
-            next = ends.fold(next, Instant::min);
+            let unanswered = share
+                .pending
+                .extract_if(.., |_, pending| has_failed(pending));
+            failed.extend(unanswered.map(|(_, pending)| (account.clone(), pending)));
+            let deadlines = share.pending.values().map(|pending| pending.deadline);
+            next = deadlines.fold(next, Instant::min);
         }
         if next < Instant::NEVER {
             self.timers.set_once(next, Timer::Quota);
         }
-        for (account, waiting) in failed {
-            self.pass_keeper_by(&account, &waiting.to, out);
-            if waiting.tries < TRIES {
-                self.draw(&account, waiting.request, waiting.tries + 1, out);
+        for (account, pending) in failed {
+            self.exclude_pool_owner(&account, &pending.owner, out);
+            if pending.attempts < MAX_ATTEMPTS {
+                self.request_tokens(&account, pending.request, pending.attempts + 1, out);
             } else {
-                self.over_limit(waiting.request, COME_BACK, out);
+                self.refuse_over_limit(pending.request, RETRY_AFTER, out);
             }
         }
     }
 
-    /// A VM that kept the pool did not answer.
-    fn pass_keeper_by(&mut self, account: &Tenant, vm: &Vm, out: &mut Effects) {
+    /// Excludes a VM that did not answer as the pool owner, unless that is this VM.
+    fn exclude_pool_owner(&mut self, account: &Tenant, vm: &Vm, out: &mut Effects) {
         let now = self.now;
-        if !self.quota.passed.contains(vm, now) && *vm != self.settings.vm {
+        if !self.quota.excluded.contains(vm, now) && *vm != self.settings.vm {
             let detail = format!("vm={vm} account={account}");
             Self::log(out, Code::PoolSilent, detail);
-            self.quota.passed.add(vm.clone(), now, now + PASSED_BY);
+            self.quota
+                .excluded
+                .add(vm.clone(), now, now + EXCLUSION_TIME);
         }
     }
 }
--- a/crates/gateway/src/account/quota/pool.rs
+++ b/crates/gateway/src/account/quota/pool.rs
@@ -1,4 +1,5 @@
-//! The tokens that one VM lends to the others: what they did not need themselves.
+//! The token pools of a pool owner: tokens collected from VMs that do not need them, and the token requests that
+//! wait for some.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,244 +10,283 @@
 use super::{TokenGrant, TokenRequest};
 use crate::account::Tokens;
 
-/// The least time between two collections.
-const COLLECT_EVERY: Span = Span::from_millis(200);
+/// The least time between the starts of two collections.
+const MIN_COLLECTION_INTERVAL: Span = Span::from_millis(200);
 
-/// The time that each VM adds to it, so that the VM that collects can take in the answers of a large fleet.
-const COLLECT_EACH: Span = Span::from_millis(1);
+/// The time between the starts of two collections per VM, where that is longer, so that the pool owner can process the
+/// answers of a large fleet.
+const COLLECTION_INTERVAL_PER_VM: Span = Span::from_millis(1);
 
-/// The part of a pool below which it collects.
-const LOW: f64 = 0.25;
+/// The fraction of a pool's capacity below which the pool owner collects.
+const LOW_WATERMARK: f64 = 0.25;
 
-/// The part of a pool that VMs get no more of than their requests need.
-const KEPT: f64 = 0.5;
+/// The fraction of a pool's capacity that is reserved: VMs get tokens of it only for the requests that wait, none for
+/// later requests.
+const RESERVE: f64 = 0.5;
 
-/// How many times longer the time between two collections is while nothing waits.
-const UNHURRIED: u64 = 2;
+/// The factor by which the interval between collections is longer while no token request waits.
+const IDLE_FACTOR: u64 = 2;
 
-/// How long an account that nothing is drawn for is still collected for.
+/// How long the pool owner collects for an account after its last token request.
 const IN_USE: Span = Span::from_millis(1_000);
 
-/// How much longer than the time between two collections a draw may wait: the way there and back.
-const MARGIN: Span = Span::from_millis(50);
+/// The time for which a token request may wait, in addition to the interval between collections: the round trip of a
+/// collection.
+const ROUND_TRIP: Span = Span::from_millis(50);
 
-/// The longest time after which a caller is told to come back.
-const LONGEST_WAIT: Span = Span::from_secs(5);
+/// Limit on the time after which a caller is told to retry.
+const MAX_RETRY_AFTER: Span = Span::from_secs(5);
 
-/// A draw that waits for tokens.
+/// A token request that waits for tokens.
 #[derive(Debug)]
-struct Waiting {
-    /// The VM that draws.
+struct QueuedRequest {
+    /// The VM that sent it.
     from: Vm,
-    /// What it draws.
-    draw: TokenRequest,
-    /// Until when it waits.
-    until: Instant,
+    /// The token request.
+    token_request: TokenRequest,
+    /// The time until which it may wait.
+    deadline: Instant,
 }
 
-/// What one account has here.
+/// The pool of one account.
 #[derive(Debug)]
-struct Row {
-    /// Its tokens. Nothing comes in by itself.
+struct Pool {
+    /// The tokens of the pool. The bucket is not refilled at a rate; tokens come from collections only.
     bucket: Bucket,
-    /// The rate of the account, and what the pool holds at most.
+    /// The rate of the account, and the capacity of the pool.
     terms: Terms,
-    /// Draws that wait, first come first served.
-    waiting: VecDeque<Waiting>,
-    /// Since when it is here.
-    since: Instant,
-    /// When something was last drawn.
-    drawn: Instant,
-    /// What the last collection has brought; none before one is over.
-    brought: Option<f64>,
-    /// What the present one has.
-    brings: f64,
-    /// Until when all that comes in belongs to callers who were told to come back.
-    promised: Instant,
+    /// The token requests that wait, in order of arrival.
+    queue: VecDeque<QueuedRequest>,
+    /// The time at which the pool was created.
+    created: Instant,
+    /// The time of the account's last token request.
+    last_request: Instant,
+    /// Tokens that the last finished collection brought; none if no collection has finished since the pool was created
+    /// or became used again.
+    last_collected: Option<f64>,
+    /// Tokens that the present collection has brought so far.
+    collected: f64,
+    /// The time up to which the account's rate is promised to callers who were told to retry.
+    promised_until: Instant,
 }
 
-/// The pools of all accounts at one VM, and the collection in progress.
+/// The pools of all accounts at one VM, and its last collection.
 #[derive(Debug, Default)]
 pub(crate) struct Pools {
-    /// By account.
-    rows: BTreeMap<Tenant, Row>,
+    /// The pool of each account.
+    by_account: BTreeMap<Tenant, Pool>,
     /// The number of the last collection.
-    round: u64,
+    collection: u64,
     /// The VMs that have not answered it yet.
-    asked: BTreeSet<Vm>,
-    /// When it began.
-    collected: Instant,
+    unanswered: BTreeSet<Vm>,
+    /// The time at which it started.
+    collection_started: Instant,
 }
 
-/// An answer to the VM that drew.
+/// An answer to a token request, and the VM that sent the request.
 pub(crate) type Answer = (Vm, TokenGrant);
 
 impl Pools {
-    /// The configuration has changed: pools of accounts that have no limit any more go, others may get smaller.
-    pub(crate) fn limit(&mut self, terms: impl Fn(&Tenant) -> Option<Terms>) {
-        self.rows.retain(|account, row| {
+    /// Applies the limits of a new configuration: removes the pools of accounts without a limit, and drops tokens
+    /// that no longer fit into the others.
+    pub(crate) fn apply_limits(&mut self, terms: impl Fn(&Tenant) -> Option<Terms>) {
+        self.by_account.retain(|account, pool| {
             let terms = terms(account);
-            row.terms = terms.unwrap_or(row.terms);
-            row.bucket.clip(row.terms);
+            pool.terms = terms.unwrap_or(pool.terms);
+            pool.bucket.truncate(pool.terms);
             terms.is_some()
         });
     }
 
-    /// A VM draws tokens. It is answered now, or when the next collection has brought them.
-    pub(crate) fn draw(
+    /// Handles a token request: answers it now, or queues it if the next collection may bring its tokens.
+    pub(crate) fn request(
         &mut self,
         now: Instant,
         from: Vm,
-        draw: TokenRequest,
+        token_request: TokenRequest,
         terms: Terms,
         vms: usize,
         out: &mut Vec<Answer>,
     ) {
-        let row = self.rows.entry(draw.account.clone()).or_insert(Row {
-            bucket: Bucket::new(now),
-            terms,
-            waiting: VecDeque::new(),
-            since: now,
-            drawn: now,
-            brought: None,
-            brings: 0.0,
-            promised: now,
-        });
-        if now.since(row.drawn) >= IN_USE {
-            row.brought = None;
+        let pool = self
+            .by_account
+            .entry(token_request.account.clone())
+            .or_insert(Pool {
+                bucket: Bucket::new(now),
+                terms,
+                queue: VecDeque::new(),
+                created: now,
+                last_request: now,
+                last_collected: None,
+                collected: 0.0,
+                promised_until: now,
+            });
+        if now.since(pool.last_request) >= IN_USE {
+            pool.last_collected = None;
         }
-        row.drawn = now;
-        row.terms = terms;
-        if row.is_worth_waiting(&draw) {
-            let until = now + pause(vms) + MARGIN;
-            row.waiting.push_back(Waiting { from, draw, until });
+        pool.last_request = now;
+        pool.terms = terms;
+        if pool.is_worth_queueing(&token_request) {
+            let deadline = now + collection_interval(vms) + ROUND_TRIP;
+            pool.queue.push_back(QueuedRequest {
+                from,
+                token_request,
+                deadline,
+            });
         } else {
-            let refused = row.refuse(now, &draw);
+            let refused = pool.refuse(now, &token_request);
             out.push((from, refused));
         }
-        row.serve(out);
+        pool.serve_queue(out);
     }
 
-    /// Begins a collection with a number from these VMs. Gives the accounts to collect for.
-    pub(crate) fn begin(&mut self, now: Instant, asked: BTreeSet<Vm>, number: u64) -> Vec<Tenant> {
-        for row in self.rows.values_mut() {
-            row.brought = Some(row.brings).filter(|_| self.collected >= row.since);
-            row.brings = 0.0;
+    /// Starts a collection with this number from the VMs `asked`. Returns the accounts to collect for.
+    pub(crate) fn start_collection(
+        &mut self,
+        now: Instant,
+        asked: BTreeSet<Vm>,
+        number: u64,
+    ) -> Vec<Tenant> {
+        for pool in self.by_account.values_mut() {
+            pool.last_collected =
+                Some(pool.collected).filter(|_| self.collection_started >= pool.created);
+            pool.collected = 0.0;
         }
-        self.round = number;
-        self.collected = now;
-        self.asked = asked;
-        let rows = self.rows.iter().filter(|(_, row)| row.is_used(now));
-        rows.map(|(account, _)| account.clone()).collect()
+        self.collection = number;
+        self.collection_started = now;
+        self.unanswered = asked;
+        let used = self.by_account.iter().filter(|(_, pool)| pool.is_used(now));
+        used.map(|(account, _)| account.clone()).collect()
     }
 
-    /// Whether a collection is due.
-    pub(crate) fn is_due(&self, now: Instant, vms: usize) -> bool {
-        let since = now.since(self.collected);
-        let low = |row: &Row| row.is_used(now) && row.is_low();
-        let calm = since >= pause(vms).times(UNHURRIED) && self.rows.values().any(low);
-        let waits = |row: &Row| !row.waiting.is_empty();
-        calm || since >= pause(vms) && self.rows.values().any(waits)
+    /// Whether a collection is due: one interval after the start of the last if a token request waits, or
+    /// [`IDLE_FACTOR`] intervals if a pool in use is low.
+    pub(crate) fn is_collection_due(&self, now: Instant, vms: usize) -> bool {
+        let since = now.since(self.collection_started);
+        let is_low = |pool: &Pool| pool.is_used(now) && pool.is_low();
+        let due_for_low = since >= collection_interval(vms).times(IDLE_FACTOR)
+            && self.by_account.values().any(is_low);
+        let has_queue = |pool: &Pool| !pool.queue.is_empty();
+        due_for_low || since >= collection_interval(vms) && self.by_account.values().any(has_queue)
     }
 
-    /// When something is to be done next; none while nothing waits.
-    pub(crate) fn next(&self, vms: usize) -> Option<Instant> {
-        let waiting = self.rows.values().filter_map(|row| row.waiting.front());
-        let ends = waiting.map(|waiting| waiting.until).min()?;
-        Some(ends.min(self.collected + pause(vms)))
+    /// The time of the next collection or of the first deadline of a token request; `None` if no token request waits.
+    pub(crate) fn next_timer(&self, vms: usize) -> Option<Instant> {
+        let first = self
+            .by_account
+            .values()
+            .filter_map(|pool| pool.queue.front());
+        let deadline = first.map(|queued| queued.deadline).min()?;
+        Some(deadline.min(self.collection_started + collection_interval(vms)))
     }
 
-    /// A VM answers a collection. Each answer counts once, and none that comes after the next collection has begun: tokens may be lost,
-    /// and are never there twice.
-    pub(crate) fn deposit(
+    /// Adds the tokens with which a VM answers a collection. Each answer counts once, and none counts that arrives
+    /// after the next collection has started, so tokens may be lost but are never counted twice.
+    pub(crate) fn add_surplus(
         &mut self,
         from: &Vm,
-        round: u64,
-        deposits: &[(Tenant, Tokens)],
+        collection: u64,
+        surplus: &[(Tenant, Tokens)],
         out: &mut Vec<Answer>,
     ) {
-        if round != self.round || !self.asked.remove(from) {
+        if collection != self.collection || !self.unanswered.remove(from) {
             return;
         }
-        for (account, tokens) in deposits {
-            if let Some(row) = self.rows.get_mut(account) {
-                row.brings += tokens.as_f64();
-                row.receive(*tokens, out);
+        for (account, tokens) in surplus {
+            if let Some(pool) = self.by_account.get_mut(account) {
+                pool.collected += tokens.as_f64();
+                pool.add(*tokens, out);
             }
         }
     }
 
-    /// Refuses what has waited long enough.
+    /// Refuses the token requests whose deadline has passed.
     pub(crate) fn expire(&mut self, now: Instant, out: &mut Vec<Answer>) {
-        for row in self.rows.values_mut() {
-            while row.waiting.front().is_some_and(|w| w.until <= now) {
-                let Some(waiting) = row.waiting.pop_front() else {
+        for pool in self.by_account.values_mut() {
+            while pool.queue.front().is_some_and(|q| q.deadline <= now) {
+                let Some(queued) = pool.queue.pop_front() else {
                     break;
                 };
-                let refused = row.refuse(now, &waiting.draw);
-                out.push((waiting.from, refused));
+                let refused = pool.refuse(now, &queued.token_request);
+                out.push((queued.from, refused));
             }
-            row.serve(out);
+            pool.serve_queue(out);
         }
     }
 
-    /// A VM is gone, and what it waits for with it.
-    pub(crate) fn vm_gone(&mut self, vm: &Vm) {
-        for row in self.rows.values_mut() {
-            row.waiting.retain(|waiting| waiting.from != *vm);
+    /// Drops the token requests of a VM that is gone.
+    pub(crate) fn remove_vm(&mut self, vm: &Vm) {
+        for pool in self.by_account.values_mut() {
+            pool.queue.retain(|queued| queued.from != *vm);
         }
     }
 }
 
-impl Row {
+impl Pool {
+    /// Whether token requests wait or have arrived recently.
     fn is_used(&self, now: Instant) -> bool {
-        !self.waiting.is_empty() || now.since(self.drawn) < IN_USE
+        !self.queue.is_empty() || now.since(self.last_request) < IN_USE
     }
 
-    /// Whether a draw may be served by what the next collection brings. As long as none has, it may; and the first draw, whatever its
-    /// size.
-    fn is_worth_waiting(&self, draw: &TokenRequest) -> bool {
-        let ahead = self.waiting.iter().map(|w| w.draw.tokens.as_f64());
-        let wanted = ahead.sum::<f64>() + draw.tokens.as_f64();
-        let soon = self.brought.map(|brought| self.bucket.balance() + brought);
-        self.waiting.is_empty() || soon.is_none_or(|soon| wanted <= soon)
+    /// Whether the next collection may bring the tokens of a request, as far as the last one shows. The first
+    /// request of the queue may always wait, whatever its size, and every request as long as no collection has
+    /// finished.
+    fn is_worth_queueing(&self, token_request: &TokenRequest) -> bool {
+        let queued = self.queue.iter().map(|q| q.token_request.tokens.as_f64());
+        let wanted = queued.sum::<f64>() + token_request.tokens.as_f64();
+        let expected = self
+            .last_collected
+            .map(|tokens| self.bucket.balance() + tokens);
+        self.queue.is_empty() || expected.is_none_or(|expected| wanted <= expected)
     }
 
-    /// Takes tokens in and gives them to those that wait; what is left is kept as far as the pool may hold it.
-    fn receive(&mut self, tokens: Tokens, out: &mut Vec<Answer>) {
-        self.bucket.put(tokens, f64::MAX);
-        self.serve(out);
-        self.bucket.clip(self.terms);
+    /// Adds tokens and grants them to the waiting token requests. Tokens that remain above the capacity are dropped.
+    fn add(&mut self, tokens: Tokens, out: &mut Vec<Answer>) {
+        self.bucket.add(tokens, f64::MAX);
+        self.serve_queue(out);
+        self.bucket.truncate(self.terms);
     }
 
+    /// Whether the pool is below the low watermark.
     fn is_low(&self) -> bool {
-        self.bucket.balance() < self.terms.most * LOW
+        self.bucket.balance() < self.terms.most * LOW_WATERMARK
     }
 
-    /// Gives tokens to those that wait for as long as there are enough for the first of them.
-    fn serve(&mut self, out: &mut Vec<Answer>) {
-        while let Some(Waiting { from, draw, .. }) = self.waiting.front() {
-            // A request larger than the pool is served by a full one, which then owes the rest.
-            if self.bucket.balance() < draw.tokens.as_f64().min(self.terms.most) {
+    /// Grants tokens to the waiting token requests in order, as long as there are enough for the first.
+    fn serve_queue(&mut self, out: &mut Vec<Answer>) {
+        while let Some(QueuedRequest {
+            from,
+            token_request,
+            ..
+        }) = self.queue.front()
+        {
+            // A full pool serves a request for more than its capacity, and its balance becomes negative.
+            if self.bucket.balance() < token_request.tokens.as_f64().min(self.terms.most) {
                 return;
             }
-            self.bucket.lend(draw.tokens);
-            let more = self.bucket.take_beyond(self.terms.most * KEPT, draw.room);
-            out.push((from.clone(), draw.answer(Ok(more))));
-            self.waiting.pop_front();
+            self.bucket.take_unchecked(token_request.tokens);
+            let more = self
+                .bucket
+                .take_above(self.terms.most * RESERVE, token_request.max_extra);
+            out.push((from.clone(), token_request.answer(Ok(more))));
+            self.queue.pop_front();
         }
     }
 
-    /// Refuses a draw and says when its tokens will be there, after those of all that were refused before.
-    fn refuse(&mut self, now: Instant, draw: &TokenRequest) -> TokenGrant {
-        let begins = self.promised.max(now);
-        let ends = begins + wait(draw.tokens.as_f64(), self.terms.rate);
-        self.promised = ends.min(now + LONGEST_WAIT);
-        draw.answer(Err(self.promised.since(now).max(COLLECT_EVERY)))
+    /// Refuses a token request. The answer is the time until the account's rate has yielded its tokens, after those
+    /// of all requests that were refused before.
+    fn refuse(&mut self, now: Instant, token_request: &TokenRequest) -> TokenGrant {
+        let start = self.promised_until.max(now);
+        let end = start + wait(token_request.tokens.as_f64(), self.terms.rate);
+        self.promised_until = end.min(now + MAX_RETRY_AFTER);
+        token_request.answer(Err(self
+            .promised_until
+            .since(now)
+            .max(MIN_COLLECTION_INTERVAL)))
     }
 }
 
-/// The time between two collections.
-pub(super) fn pause(vms: usize) -> Span {
-    COLLECT_EVERY.max(COLLECT_EACH.times(vms as u64))
+/// The interval between the starts of two collections while token requests wait, with this number of VMs.
+pub(super) fn collection_interval(vms: usize) -> Span {
+    MIN_COLLECTION_INTERVAL.max(COLLECTION_INTERVAL_PER_VM.times(vms as u64))
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: routes, services, limits; and the index that finds a request's route.
+//! The operator's configuration (routes, services, client accounts, HTTP limits), and the index that finds a request's
+//! route, service and account.
 
 pub(crate) mod startup_queue;
 
@@ -9,127 +10,129 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::account::{Account, Table};
+use crate::account::{Account, AccountIndex};
 
-/// What may be repeated.
+/// The kind of a route's requests: whether one may be retried after it may have run, and whether its answer is a
+/// stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// May run any number of times; no stream.
     Safe,
-    /// Runs at most once.
+    /// May run at most once; no stream.
     Unsafe,
-    /// A stream that runs at most once.
+    /// A stream; the request may run at most once.
     Stream,
-    /// A stream that may go on at another server after the last event that reached the caller.
+    /// A stream that can be continued at another server after the last event that reached the caller.
     Resumable,
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run can be retried.
     #[must_use]
     pub const fn idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Resumable)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is an event stream.
     #[must_use]
     pub const fn stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 }
 
-/// One target of a route with its share of the requests.
+/// A service that a route sends requests to, and its share of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: Service,
-    /// Its share, in proportion to the weights of the others.
+    /// Its share of the route's requests, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and how.
+/// A route: the services that requests with one host and path prefix go to, and how they are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// The host that requests name.
+    /// The value of the requests' `Host` header, compared without case.
     pub host: String,
-    /// The path prefix, with a slash at both ends.
+    /// The path prefix of the requests; it begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// The kind of the requests.
     pub kind: RouteKind,
-    /// The longest time that a request is kept waiting.
+    /// The deadline of a request, counted from its arrival.
     pub timeout: Span,
-    /// The time within which an answer (its first event) is of full use.
+    /// The time from a request's arrival within which the first chunk of the answer is wanted.
     pub objective: Span,
-    /// The longest pause between two events of a stream that is still in time; zero where none is told.
+    /// The longest pause between two chunks of a stream that does not count as late; zero where the operator gives
+    /// none.
     pub pause: Span,
-    /// How long callers wait for the first event of a stream; the timeout for other kinds.
+    /// How long callers wait for the first chunk of a stream; equal to `timeout` for other kinds.
     pub caller_timeout: Span,
-    /// The rank, 0 first.
+    /// The priority of requests whose account has none; requests with a lower number are served first.
     pub priority: u8,
-    /// Whether its requests need no key.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
-    /// Servers on which one request may run at most.
+    /// Limit on the number of servers at which one request may run.
     pub attempts: u32,
-    /// Where requests go, at least one target.
+    /// The services that the requests go to; at least one.
     pub targets: Vec<Target>,
 }
 
 /// A base model of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Model {
-    /// Its name.
+    /// The name of the base model.
     pub name: Arc<str>,
-    /// The size of its weights in megabytes.
+    /// Size of its weights in megabytes.
     pub size_mb: f64,
-    /// The size of each of its adapters in megabytes.
+    /// Size of each of its adapters in megabytes.
     pub adapter_mb: f64,
-    /// How long its weights take from the weight store.
+    /// Time to load its weights from the weight store.
     pub load: Span,
 }
 
-/// What the engines of a service hold.
+/// The capacity of the engines of a service, which are all alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests in one batch.
+    /// Number of requests that run in one batch.
     pub batch: u32,
-    /// Tokens that the memory holds.
+    /// Capacity of the KV cache in tokens, for running requests and the prefix cache.
     pub tokens: u64,
-    /// Memory for weights and adapters in megabytes.
+    /// Memory for the weights of base models and adapters in megabytes.
     pub memory_mb: f64,
-    /// Adapters that one engine holds at most.
+    /// Number of adapter slots: limit on the adapters resident at one engine.
     pub places: usize,
-    /// Loads of base models from the weight store a second, over all engines.
+    /// Loads of base models that the weight store serves per second, over all engines.
     pub loads_per_s: f64,
     /// The base models.
     pub models: Vec<Model>,
 }
 
-/// A service.
+/// A service that requests are sent to: either of inference engines or of plain servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceConfig {
-    /// Its name.
+    /// The name of the service.
     pub name: Service,
-    /// What its engines hold; none for a plain service.
+    /// The capacity of its engines; none for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// What a caller may send.
+/// Limits on callers' HTTP requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpLimits {
-    /// The longest head in bytes.
+    /// Limit on the size of a request's head in bytes.
     pub head: usize,
-    /// The longest body in bytes.
+    /// Limit on the size of a request's body in bytes.
     pub body: usize,
-    /// How long a head may take.
+    /// Limit on the time from the first to the last byte of a request's head.
     pub head_time: Span,
-    /// How long a connection may be idle.
+    /// Limit on the time that a connection is kept open without a request.
     pub idle_time: Span,
 }
 
 impl Default for HttpLimits {
-    /// What holds before the first configuration is known: the usual figures of HTTP servers.
+    /// The limits that apply before the first configuration is known: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             head: 16_384,
@@ -143,31 +146,32 @@
 /// One version of the operator's configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Its version; a higher one replaces a lower one.
+    /// The version of the configuration; a higher one replaces a lower one.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Arc<Route>>,
     /// The services.
     pub services: Vec<Arc<ServiceConfig>>,
-    /// What callers may send.
+    /// Limits on callers' HTTP requests and connections.
     pub limits: HttpLimits,
-    /// The client accounts; none where requests need no key.
+    /// The client accounts; none where requests need no API key.
     pub accounts: Option<Vec<Arc<Account>>>,
 }
 
-/// Finds a request's route: the first in the order of prefixes from the longest to the shortest that matches.
+/// Lookup tables for the routes, services and accounts of a configuration. Of the routes that match a request, the one
+/// with the longest path prefix counts.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
-    /// The routes of each host, longest prefix first.
+    /// The routes by host in lower case, longest prefix first.
     hosts: FxHashMap<String, Vec<Arc<Route>>>,
     /// The services by name.
     services: FxHashMap<Service, Arc<ServiceConfig>>,
-    /// The client accounts by key.
-    accounts: Table,
+    /// The client accounts by API key.
+    accounts: AccountIndex,
 }
 
 impl RouteIndex {
-    /// The index of a configuration.
+    /// Builds the index of a configuration.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let mut hosts: FxHashMap<String, Vec<Arc<Route>>> = FxHashMap::default();
@@ -183,17 +187,17 @@
         Self {
             hosts,
             services,
-            accounts: Table::new(config),
+            accounts: AccountIndex::new(config),
         }
     }
 
-    /// The client accounts.
+    /// The client accounts by API key.
     #[must_use]
-    pub fn accounts(&self) -> &Table {
+    pub fn accounts(&self) -> &AccountIndex {
         &self.accounts
     }
 
-    /// The route of a host and path.
+    /// The route of requests with this host and path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = match self.hosts.get(host) {
@@ -203,13 +207,13 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by its name.
+    /// The service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceConfig>> {
         self.services.get(name)
     }
 
-    /// The services that have engines.
+    /// The services whose servers are engines.
     pub fn engines(&self) -> impl Iterator<Item = &Arc<ServiceConfig>> {
         self.services.values().filter(|s| s.engine.is_some())
     }
--- a/crates/gateway/src/config/startup_queue.rs
+++ b/crates/gateway/src/config/startup_queue.rs
@@ -1,8 +1,9 @@
-//! Requests that come before this VM knows a configuration.
+//! The queue of requests that arrive before this VM knows a configuration.
 //!
-//! A process that starts again finds callers waiting: the platform goes on sending them to it, and what is to be in force is
-//! there a call of the key-value service later, some 30 ms. Until then they are held, so that a restart of all VMs refuses
-//! nobody who could be served. Where the configuration does not come soon they are refused together, and later ones at once.
+//! The platform keeps sending requests to a process that restarts, and the process knows the configuration only
+//! after its first call of the key-value service, some 30 ms later. Requests are held until then, so that a restart
+//! of all VMs refuses no request that could be served. If no configuration arrives within 300 ms the held requests
+//! are refused, and later ones immediately.
 
 use std::collections::BTreeMap;
 
@@ -15,76 +16,85 @@
 use crate::request::state::refusal;
 use crate::timer::Timer;
 
-/// How long after its start a VM holds requests.
-const HELD: Span = Span::from_millis(300);
+/// How long after its start a VM holds requests while it knows no configuration.
+const MAX_HOLD: Span = Span::from_millis(300);
 
-/// When a caller may come back to a VM that knows no configuration.
-const COME_BACK: Span = Span::from_millis(500);
+/// The time after which callers may retry a request that was refused for want of a configuration.
+const RETRY_AFTER: Span = Span::from_millis(500);
 
-/// The requests that are held.
+/// The requests that are held for a configuration.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// Until when requests are held.
-    until: Instant,
-    /// The requests, each with when it came.
-    calls: BTreeMap<RequestId, (Instant, CallerRequest)>,
+    /// The time until which requests are held.
+    held_until: Instant,
+    /// The held requests with their arrival times.
+    requests: BTreeMap<RequestId, (Instant, CallerRequest)>,
 }
 
 impl State {
-    /// How many requests are held.
+    /// The number of held requests.
     pub(crate) fn len(&self) -> usize {
-        self.calls.len()
+        self.requests.len()
     }
 
-    /// The caller of a request is gone. Gives what it had asked, if that was held.
+    /// Removes a request whose caller has left. Returns its arrival time and the request, if it was held.
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<(Instant, CallerRequest)> {
-        self.calls.remove(&request)
+        self.requests.remove(&request)
     }
 }
 
 impl Gateway {
-    pub(crate) fn startup_queue_start(&mut self) {
-        self.startup_queue.until = self.now + HELD;
+    /// Starts holding requests, for [`MAX_HOLD`].
+    pub(crate) fn start_startup_queue(&mut self) {
+        self.startup_queue.held_until = self.now + MAX_HOLD;
         self.timers
-            .set(self.startup_queue.until, Timer::StartupQueue);
+            .set(self.startup_queue.held_until, Timer::StartupQueue);
     }
 
-    /// A request came, and no configuration is known.
+    /// Holds a request that arrived while no configuration is known, or refuses it if the holding time is over.
     pub(crate) fn queue_at_startup(
         &mut self,
         request: RequestId,
-        call: CallerRequest,
+        caller_request: CallerRequest,
         out: &mut Effects,
     ) {
-        if self.now < self.startup_queue.until {
-            self.startup_queue.calls.insert(request, (self.now, call));
+        if self.now < self.startup_queue.held_until {
+            self.startup_queue
+                .requests
+                .insert(request, (self.now, caller_request));
         } else {
-            Self::refuse_unconfigured(request, &call, out);
+            Self::refuse_unconfigured(request, &caller_request, out);
         }
     }
 
-    /// Goes on with the requests that are held, once a configuration is known and the servers that came with it.
+    /// Admits the held requests once a configuration is known. Called after each event, so that the servers that were
+    /// listed together with the configuration are known too.
     pub(crate) fn release_startup_queue(&mut self, out: &mut Effects) {
-        if self.config.is_none() || self.startup_queue.calls.is_empty() {
+        if self.config.is_none() || self.startup_queue.requests.is_empty() {
             return;
         }
-        for (request, (at, call)) in std::mem::take(&mut self.startup_queue.calls) {
-            self.admit(request, call, at, out);
+        for (request, (arrived, caller_request)) in std::mem::take(&mut self.startup_queue.requests)
+        {
+            self.admit(request, caller_request, arrived, out);
         }
     }
 
-    /// The time is over for which requests are held.
+    /// Refuses the held requests when the holding time is over.
     pub(crate) fn handle_startup_queue_timer(&mut self, out: &mut Effects) {
-        if self.now < self.startup_queue.until {
+        if self.now < self.startup_queue.held_until {
             return;
         }
-        for (request, (_, call)) in std::mem::take(&mut self.startup_queue.calls) {
-            Self::refuse_unconfigured(request, &call, out);
+        for (request, (_, caller_request)) in std::mem::take(&mut self.startup_queue.requests) {
+            Self::refuse_unconfigured(request, &caller_request, out);
         }
     }
 
-    fn refuse_unconfigured(request: RequestId, call: &CallerRequest, out: &mut Effects) {
-        Self::log(out, Code::Refused, format!("id={} why=no_config", call.id));
-        out.push(refusal(request, RefusalReason::NoConfig, Some(COME_BACK)));
+    fn refuse_unconfigured(request: RequestId, caller_request: &CallerRequest, out: &mut Effects) {
+        Self::log(
+            out,
+            Code::Refused,
+            format!("id={} why=no_config", caller_request.id),
+        );
+        out.push(refusal(request, RefusalReason::NoConfig, Some(RETRY_AFTER)));
     }
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! One entry VM: its tables, and the dispatch of events to the passes that run over them.
+//! [`Gateway`], the state of one entry VM, and the dispatch of events, messages and timers to their handlers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,63 +36,63 @@
 use crate::settings::{Settings, Tuning};
 use crate::timer::{Timer, Timers};
 
-/// Everything that one entry VM knows.
+/// The state of one entry VM.
 #[derive(Debug)]
 pub struct Gateway {
-    /// What it was told.
+    /// The VM's settings.
     pub(crate) settings: Settings,
-    /// The time of the present step.
+    /// The time of the present step, by the VM's monotonic clock.
     pub(crate) now: Instant,
-    /// Its random numbers.
+    /// The random number generator; its seed is one of the settings.
     pub(crate) rng: ChaCha8Rng,
-    /// The facts of the key-value service.
+    /// The known entries of the key-value service.
     pub(crate) snapshot: Snapshot,
     /// The configuration in force.
     pub(crate) config: Option<Arc<Config>>,
-    /// Its index.
+    /// Lookup tables of the configuration in force.
     pub(crate) index: RouteIndex,
     /// The other entry VMs.
     pub(crate) membership: Membership,
-    /// The backend servers that take work, and what this VM knows of them.
+    /// The backend servers with an entry in the key-value service, as this VM sees them.
     pub(crate) servers: BTreeMap<Server, ServerState>,
-    /// What backend servers said of themselves.
+    /// The notices that backend servers attached to their answers.
     pub(crate) notices: notice::ServerNotices,
-    /// The requests of this VM's callers.
+    /// The requests of this VM's callers that have no final answer yet.
     pub(crate) in_flight: FxHashMap<RequestId, RequestState>,
-    /// The budgets of second sends.
+    /// The retry budget of each service.
     pub(crate) retry_budgets: BTreeMap<Service, RetryBudget>,
-    /// What this VM knows of the schedulers.
+    /// What this VM knows of the scheduler of each service.
     pub(crate) scheduler_clients: BTreeMap<Service, client::State>,
     /// The schedulers that run on this VM.
     pub(crate) schedulers: BTreeMap<Service, Scheduler>,
-    /// This VM's own entry.
+    /// This VM's own entry in the key-value service, and its lease.
     pub(crate) registration: registration::State,
-    /// The leaderships it holds or wants, and their lease.
+    /// The leaderships that this VM holds or is a candidate for, and their lease.
     pub(crate) leaderships: leadership::State,
-    /// Lease votes given and had.
+    /// The lease votes that this VM has given and received.
     pub(crate) votes: lease_vote::State,
-    /// How the key-value service is followed.
+    /// The watch of the key-value service, or the subscription at another VM.
     pub(crate) watch: watch::State,
-    /// What is noted beside the facts.
+    /// State kept while changes of entries are applied, such as servers whose entries have lapsed.
     pub(crate) applied: apply::State,
-    /// Requests that crash servers.
+    /// Crash reports, and the quarantine of requests that crash servers.
     pub(crate) quarantine: quarantine::State,
-    /// The limits of client accounts.
+    /// This VM's shares of the quotas of client accounts, and the token pool.
     pub(crate) quota: quota::State,
-    /// Requests that came before the first configuration.
+    /// Requests that arrived before a configuration was known.
     pub(crate) startup_queue: startup_queue::State,
-    /// What is to be looked at later.
+    /// The pending timers.
     pub(crate) timers: Timers,
-    /// The last number given to a call or order.
+    /// The last number given to a call of the key-value service or to an order.
     last_id: u64,
-    /// Whether the process is to stop.
+    /// Whether the process was asked to stop.
     pub(crate) stopping: bool,
     /// Whether a scheduler ran in the last step.
     pub(crate) scheduler_ran: bool,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing but its settings.
+    /// Creates a gateway that knows only its settings.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -124,43 +124,45 @@
         }
     }
 
-    /// Handles one event at the time `now` of the VM's monotonic clock, and appends what is to be done.
+    /// Handles one event at the time `now` of the VM's monotonic clock, and appends the effects to `out`. Timers and
+    /// schedulers that are due run in the same step.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Effects) {
         self.now = self.now.max(now);
         self.scheduler_ran = false;
-        self.handle(event, out);
+        self.handle_event(event, out);
         self.release_startup_queue(out);
         self.run_timers(out);
         self.run_schedulers(out);
     }
 
-    /// Whether a scheduler ran in the last step, so that its length is to be told to [`Self::record_step_duration`].
+    /// Whether a scheduler ran in the last step. If so, the caller passes the duration of the step to
+    /// [`Self::record_step_duration`].
     #[must_use]
     pub fn scheduler_ran(&self) -> bool {
         self.scheduler_ran
     }
 
-    /// The last step, in which a scheduler ran, took so long, with what was done for it: schedulers run no more often than their
-    /// VM can bear.
+    /// Records the duration of the last step in which a scheduler ran, with the execution of its effects.
+    /// Schedulers set the interval between their runs by it, so that they do not overload the VM.
     pub fn record_step_duration(&mut self, span: Span) {
         for scheduler in self.schedulers.values_mut() {
             scheduler.record_run_duration(span);
         }
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// The time at which the next [`Event::Tick`] is due.
     #[must_use]
     pub fn next_wakeup(&self) -> Instant {
-        self.timers.next()
+        self.timers.next_at()
     }
 
-    /// Whether new connections are welcome.
+    /// Whether the VM is ready for new connections: it knows a configuration and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.config.is_some() && !self.stopping
     }
 
-    /// What callers may send.
+    /// Limits on callers' HTTP requests and connections.
     #[must_use]
     pub fn limits(&self) -> HttpLimits {
         self.config
@@ -168,19 +170,19 @@
             .map_or_else(HttpLimits::default, |c| c.limits)
     }
 
-    /// The version of the configuration in force, 0 where none is known.
+    /// The version of the configuration in force; 0 while none is known.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
 
-    /// The requests in progress.
+    /// The number of requests without a final answer.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.in_flight.len() + self.startup_queue.len()
     }
 
-    /// Everything that does not hold together, as readable text; empty where all is well.
+    /// Checks the invariants of the schedulers' state. Returns a description of each violation.
     #[must_use]
     pub fn verify(&self) -> Vec<String> {
         self.schedulers
@@ -189,6 +191,7 @@
             .collect()
     }
 
+    /// A new number for a call of the key-value service or an order.
     pub(crate) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -198,19 +201,19 @@
     pub(crate) fn send(&self, to: &Vm, message: Message, out: &mut Effects) {
         match self.membership.address(to) {
             Some(address) => {
-                let near = self.membership.zone(to) == Some(&self.settings.zone);
-                let reach = if near {
+                let same_zone = self.membership.zone(to) == Some(&self.settings.zone);
+                let locality = if same_zone {
                     Locality::SameZone
                 } else {
                     Locality::CrossZone
                 };
-                out.push(Effect::SendMessage(address, reach, message));
+                out.push(Effect::SendMessage(address, locality, message));
             }
             None => metrics::count_global(out, Figure::Dropped, "peer_unknown"),
         }
     }
 
-    /// The entry VMs that are there besides this one.
+    /// The other entry VMs that count as present.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Vm> {
         let me = &self.settings.vm;
         self.membership
@@ -218,22 +221,22 @@
             .filter(move |vm| *vm != me)
     }
 
-    /// So many of the VMs that are there, this one among them, the first by their place in an order.
-    pub(crate) fn first_vms<K: Ord>(&self, count: usize, place: impl Fn(&Vm) -> K) -> Vec<&Vm> {
+    /// The first `count` VMs in the order of `rank`, among the VMs that count as present and this one.
+    pub(crate) fn first_vms<K: Ord>(&self, count: usize, rank: impl Fn(&Vm) -> K) -> Vec<&Vm> {
         let mut vms: Vec<&Vm> = self.peers().chain([&self.settings.vm]).collect();
-        vms.sort_by_cached_key(|vm| place(vm));
+        vms.sort_by_cached_key(|vm| rank(vm));
         vms.truncate(count);
         vms
     }
 
-    /// The service of a server that is listed.
+    /// The service of a server, if the server has an entry.
     pub(crate) fn service_of(&self, server: &Server) -> Option<Service> {
         self.servers
             .get(server)
-            .map(|row| row.backend.service.clone())
+            .map(|state| state.backend.service.clone())
     }
 
-    /// How much a VM can do for others.
+    /// The strength of a VM: its capacity for work on behalf of others. It is 0 for all VMs if the feature is disabled.
     pub(crate) fn strength(&self, vm: &Vm) -> u32 {
         if !self.settings.uses(Feature::Strength) {
             return 0;
@@ -245,7 +248,7 @@
         }
     }
 
-    /// This VM as it describes itself.
+    /// This VM's description of itself, for its entry and for other VMs.
     pub(crate) fn member(&self) -> Member {
         Member {
             address: self.settings.address,
@@ -255,6 +258,7 @@
         }
     }
 
+    /// Starts a call of the key-value service and returns its number.
     pub(crate) fn call_kv(&mut self, op: KvOperation, out: &mut Effects) -> KvOperationId {
         metrics::count_global(out, Figure::PlatformCalls, op.name());
         let id = self.next_id();
@@ -262,44 +266,55 @@
         id
     }
 
+    /// Appends a log record.
     pub(crate) fn log(out: &mut Effects, code: Code, detail: String) {
         out.push(Effect::Log(Record::new(code, detail)));
     }
 
-    fn handle(&mut self, event: Event, out: &mut Effects) {
+    /// Passes an event to its handler.
+    fn handle_event(&mut self, event: Event, out: &mut Effects) {
         match event {
             Event::Start => self.start(out),
             Event::Tick => {}
-            Event::RequestArrived(request, call) => self.handle_request(request, *call, out),
+            Event::RequestArrived(request, caller_request) => {
+                self.handle_request(request, *caller_request, out);
+            }
             Event::CallerLeft(request) => self.handle_caller_left(request, out),
             Event::AnswerStarted(request) => self.handle_answer_started(request, out),
             Event::AnswerCompleted(request, pause) => {
                 self.handle_answer_completed(request, pause, out);
             }
-            Event::AttemptFailed(request, ran, cause) => {
-                self.handle_attempt_failed(request, ran, cause, out);
+            Event::AttemptFailed(request, execution, cause) => {
+                self.handle_attempt_failed(request, execution, cause, out);
             }
             Event::OrderAnswered(order, outcome) => self.handle_order_outcome(order, outcome, out),
             Event::NoticeReceived(server, notice) => self.handle_notice(&server, notice, out),
             Event::ReportReceived(server, report) => self.handle_report(&server, report.as_ref()),
-            Event::Probed(server, presence) => self.handle_probe(&server, presence, out),
-            Event::KvAnswered(op, outcome) => self.answered(op, outcome, out),
-            Event::PeerMessage(from, message) => self.heard(&from, message, out),
+            Event::Probed(server, result) => self.handle_probe(&server, result, out),
+            Event::KvAnswered(op, outcome) => self.handle_kv_outcome(op, outcome, out),
+            Event::PeerMessage(from, message) => self.handle_message(&from, message, out),
             Event::PeerDown(address, fault) => self.peer_down(address, fault, out),
-            Event::SettingsReloaded(tuning) => self.reloaded(tuning, out),
+            Event::SettingsReloaded(tuning) => self.apply_reloaded_settings(tuning, out),
             Event::Stop => self.stop(out),
         }
     }
 
+    /// Handles the start of the process: starts the first calls of the key-value service and the initial delays.
     fn start(&mut self, out: &mut Effects) {
-        self.startup_queue_start();
-        self.quota_start();
+        self.start_startup_queue();
+        self.start_quota();
         self.start_watching(out);
         self.start_candidacy_delay();
         self.handle_registration_timer(out);
     }
 
-    fn answered(&mut self, op: KvOperationId, outcome: crate::event::KvOutcome, out: &mut Effects) {
+    /// Passes the outcome of a call of the key-value service to the module that started the call.
+    fn handle_kv_outcome(
+        &mut self,
+        op: KvOperationId,
+        outcome: crate::event::KvOutcome,
+        out: &mut Effects,
+    ) {
         if self.watch.op == Some(op) {
             self.handle_watch_outcome(outcome, out);
         } else if self.registration.owns(op) {
@@ -311,7 +326,8 @@
         }
     }
 
-    fn heard(&mut self, from: &Vm, message: Message, out: &mut Effects) {
+    /// Passes a message of another VM to its handler. Messages of a scheduler with a stale fencing token are dropped.
+    fn handle_message(&mut self, from: &Vm, message: Message, out: &mut Effects) {
         self.membership.record_heard(from, self.now);
         match message {
             Message::Subscribe(member, revision) => {
@@ -319,15 +335,15 @@
                 self.handle_subscribe(from, revision, out);
             }
             Message::Replicate(batch) => self.apply_replicated(from, batch, out),
-            Message::PlacementRequest(service, want) => {
-                self.handle_placement_request(&service, from, want);
+            Message::PlacementRequest(service, placement_request) => {
+                self.handle_placement_request(&service, from, placement_request);
             }
             Message::Progress(service, request, progress) => {
                 self.handle_progress(&service, from, request, progress);
             }
-            Message::Resync(service, member, running, wants) => {
+            Message::Resync(service, member, running, waiting) => {
                 self.membership.record_member(from, &member);
-                self.handle_resync(&service, from, &running, wants);
+                self.handle_resync(&service, from, &running, waiting);
             }
             Message::Placement(service, fence, request, server, version) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
@@ -343,13 +359,13 @@
             Message::SchedulerHeartbeat(service, fence) => {
                 self.accept_scheduler_message(&service, fence, from, out);
             }
-            Message::RequestLeaseVote(service, fence, asked) => {
+            Message::RequestLeaseVote(service, fence, asked_at) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
-                    self.handle_vote_request(&service, fence, asked, from, out);
+                    self.handle_vote_request(&service, fence, asked_at, from, out);
                 }
             }
-            Message::LeaseVote(service, fence, asked) => {
-                self.handle_vote(&service, fence, asked, from);
+            Message::LeaseVote(service, fence, asked_at) => {
+                self.handle_vote(&service, fence, asked_at, from);
             }
             Message::ResidentAdapters(service, fence, residents) => {
                 if self.accept_scheduler_message(&service, fence, from, out) {
@@ -357,14 +373,14 @@
                     self.record_residents(&service, residents);
                 }
             }
-            Message::CrashReports(strikes) => self.handle_crash_reports(from, &strikes, out),
-            Message::QuarantineStatuses(told) => self.handle_quarantine_statuses(told, out),
+            Message::CrashReports(reports) => self.handle_crash_reports(from, &reports, out),
+            Message::QuarantineStatuses(statuses) => self.handle_quarantine_statuses(statuses, out),
             Message::ServerRateLimit(server, limit) => self.set_limit(from, &server, limit, out),
-            Message::ServerLeaving(server, start) => {
-                self.mark_leaving(from, &server, start, out);
+            Message::ServerLeaving(server, incarnation) => {
+                self.mark_leaving(from, &server, incarnation, out);
             }
-            Message::ServerCooldown(server, span) => {
-                self.handle_server_cooldown(from, &server, span);
+            Message::ServerCooldown(server, cooldown) => {
+                self.handle_server_cooldown(from, &server, cooldown);
             }
             Message::SendPermitRequest(request, server) => {
                 self.handle_permit_request(from, request, server, out);
@@ -372,28 +388,30 @@
             Message::SendPermitReply(request, server, answer) => {
                 self.handle_permit_reply(request, &server, answer, out);
             }
-            Message::TokenRequest(draw) => self.drawn(from, draw, out),
-            Message::TokenGrant(grant) => self.granted(&grant, out),
+            Message::TokenRequest(token_request) => {
+                self.handle_token_request(from, token_request, out);
+            }
+            Message::TokenGrant(grant) => self.handle_token_grant(&grant, out),
             Message::CollectTokens(number, accounts) => {
-                self.collected(from, number, &accounts, out);
+                self.handle_collect_tokens(from, number, &accounts, out);
             }
-            Message::SurplusTokens(number, deposits) => {
-                self.deposited(from, number, &deposits, out);
+            Message::SurplusTokens(number, surplus) => {
+                self.handle_surplus_tokens(from, number, &surplus, out);
             }
             Message::RelayedResidentAdapters(service, fence, residents) => {
-                let holder = self
+                let known_fence = self
                     .scheduler_clients
                     .get(&service)
                     .map(|client| client.fence);
-                if holder == Some(fence) {
+                if known_fence == Some(fence) {
                     self.record_residents(&service, residents);
                 }
             }
         }
     }
 
-    /// Takes new figures from the settings file; a file that can't be used changes nothing.
-    fn reloaded(&mut self, tuning: Result<Box<Tuning>, String>, out: &mut Effects) {
+    /// Applies the tuning parameters of a reloaded settings file. A file that can't be used changes nothing.
+    fn apply_reloaded_settings(&mut self, tuning: Result<Box<Tuning>, String>, out: &mut Effects) {
         match tuning {
             Ok(tuning) => {
                 self.settings.tuning = *tuning;
@@ -403,6 +421,8 @@
         }
     }
 
+    /// Starts a graceful stop: gives up the leaderships and removes this VM's entry from the key-value service. Open
+    /// requests go on.
     fn stop(&mut self, out: &mut Effects) {
         self.stopping = true;
         Self::log(
@@ -414,8 +434,9 @@
         self.deregister(out);
     }
 
+    /// Runs the handlers of the timers that are due.
     fn run_timers(&mut self, out: &mut Effects) {
-        while let Some(timer) = self.timers.due(self.now) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
                 Timer::Request(request) => self.handle_request_timer(request, out),
                 Timer::Registration => self.handle_registration_timer(out),
@@ -424,7 +445,7 @@
                 Timer::StartupQueue => self.handle_startup_queue_timer(out),
                 Timer::Quarantine => self.handle_quarantine_timer(out),
                 Timer::Quota => self.handle_quota_timer(out),
-                // The schedulers run after each step, where one is due.
+                // `run_schedulers` runs the schedulers that are due at the end of each step.
                 Timer::Scheduler(_) => {}
             }
         }
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -1,4 +1,4 @@
-//! Times at which something is to be looked at again.
+//! The timers of a gateway, kept in a heap and run by [`Gateway::step`](crate::Gateway::step).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -8,34 +8,37 @@
 
 use crate::event::RequestId;
 
-/// What is to be looked at.
+/// The handler that a timer runs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A request's time is over.
+    /// The deadline of a caller's request, or a timeout within it.
     Request(RequestId),
-    /// This VM's own entry.
+    /// Calls for this VM's own entry in the key-value service and its lease.
     Registration,
-    /// The leaderships and their lease.
+    /// Calls for leaderships and their lease, and the timeouts of their holders.
     Leadership,
-    /// The key-value service.
+    /// Watches of the key-value service, and subscriptions at other VMs.
     Watch,
-    /// The requests that came before the first configuration.
+    /// The end of the time for which requests are held while no configuration is known.
     StartupQueue,
-    /// The records of requests in quarantine.
+    /// Calls for the quarantine entries in the key-value service.
     Quarantine,
-    /// The limits of client accounts.
+    /// Timeouts of token requests, and collections of the token pool.
     Quota,
-    /// The scheduler of a service.
+    /// The next run of the scheduler of a service, if it runs on this VM.
     Scheduler(Service),
 }
 
-/// Timers by time. Setting one does not undo an earlier one: what is looked at too early changes nothing.
+/// The pending timers, ordered by time.
+///
+/// Setting a timer does not cancel an earlier one of the same kind. Handlers check what is due, so a run that is too
+/// early changes nothing.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
-    /// The times that are set.
+    /// All pending timers, the earliest first.
     heap: BinaryHeap<Reverse<(Instant, Timer)>>,
-    /// The earliest time of each timer that is set only once.
-    once: BTreeMap<Timer, Instant>,
+    /// The earliest pending time of each timer that was set with `set_once`.
+    earliest: BTreeMap<Timer, Instant>,
 }
 
 impl Timers {
@@ -44,30 +47,31 @@
         self.heap.push(Reverse((at, timer)));
     }
 
-    /// Sets a timer that is set again after each step, unless it is set for as early a time already.
+    /// Sets a timer, unless it is already set with this method for the same or an earlier time. For timers that are set
+    /// again in each step, so that the heap does not grow.
     pub(crate) fn set_once(&mut self, at: Instant, timer: Timer) {
-        if self.once.get(&timer).is_some_and(|set| *set <= at) {
+        if self.earliest.get(&timer).is_some_and(|set| *set <= at) {
             return;
         }
-        self.once.insert(timer.clone(), at);
+        self.earliest.insert(timer.clone(), at);
         self.set(at, timer);
     }
 
-    /// The earliest time.
-    pub(crate) fn next(&self) -> Instant {
+    /// The time of the earliest timer, [`Instant::NEVER`] where none is set.
+    pub(crate) fn next_at(&self) -> Instant {
         self.heap
             .peek()
             .map_or(Instant::NEVER, |Reverse((at, _))| *at)
     }
 
-    /// Takes a timer that is due.
-    pub(crate) fn due(&mut self, now: Instant) -> Option<Timer> {
-        if self.next() > now {
+    /// Removes and returns the earliest timer if its time has come.
+    pub(crate) fn pop_due(&mut self, now: Instant) -> Option<Timer> {
+        if self.next_at() > now {
             return None;
         }
         let Reverse((at, timer)) = self.heap.pop()?;
-        if self.once.get(&timer) == Some(&at) {
-            self.once.remove(&timer);
+        if self.earliest.get(&timer) == Some(&at) {
+            self.earliest.remove(&timer);
         }
         Some(timer)
     }
