--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by the key that it bears.
+//! The account of a request, found by its API key.
 
 mod support;
 
@@ -15,11 +15,11 @@
 use support::setup::{self, name};
 use support::{Answer, World};
 
-/// The longest time until a configuration is in force.
+/// The time within which a new configuration is in force on all VMs.
 const IN_FORCE: Span = Span::from_secs(2);
 
-/// A fleet that knows two accounts without limits.
-fn warm() -> World {
+/// A fleet that has run for some seconds and knows two accounts without limits.
+fn fleet_with_accounts() -> World {
     let mut world = World::with_tuning(6, 2, 4, tuning());
     world.configure(config(2, accounts()));
     world.run(Span::from_secs(4));
@@ -33,9 +33,9 @@
     ]
 }
 
-/// How a call at a VM came out.
-fn outcome(world: &mut World, vm: usize, call: CallerRequest) -> Answer {
-    let number = world.send_request(vm, call);
+/// Sends a request to a VM and returns its answer.
+fn outcome(world: &mut World, vm: usize, request: CallerRequest) -> Answer {
+    let number = world.send_request(vm, request);
     world.run(Span::from_millis(500));
     let answer = world.answer(number).cloned();
     answer.expect("an answer")
@@ -45,10 +45,10 @@
     matches!(answer, Answer::Served(_))
 }
 
-/// Servers are told the account of the key, whichever of its keys it is.
+/// A server is told the account of a request, whichever of the account's keys the request has.
 #[test]
 fn account_ofeachkey() {
-    let mut world = warm();
+    let mut world = fleet_with_accounts();
     for (text, account) in [
         ("key-n1", "north"),
         ("key-n2", "north"),
@@ -56,56 +56,62 @@
     ] {
         let number = world.send_request(0, request("r", text));
         world.run(Span::from_millis(500));
-        let told = &world.requests[&number].accounts;
-        assert_eq!(told, &vec![Some(name(account))], "{text}");
+        let accounts = &world.requests[&number].accounts;
+        assert_eq!(accounts, &vec![Some(name(account))], "{text}");
     }
 }
 
-/// A request without a key, or with one that no account holds, is refused for good by a VM that hears of the key-value service.
+/// A request without a key, or with one that no account holds, is refused without a retry time by a VM with a current
+/// configuration.
 #[test]
 fn key_unknownisrefused() {
-    let mut world = warm();
+    let mut world = fleet_with_accounts();
     let without = CallerRequest {
         key: None,
         ..request("r", "any")
     };
-    for asked in [without, request("r", "key-x")] {
-        let answer = outcome(&mut world, 1, asked);
+    for request in [without, request("r", "key-x")] {
+        let answer = outcome(&mut world, 1, request);
         assert_eq!(answer, Answer::Refused(RefusalReason::UnknownKey, None));
     }
 }
 
-/// A VM that has heard nothing for a while can't know whether a newer configuration holds the key.
+/// A VM without news of the key-value service can't know whether a newer configuration has the key. It refuses a
+/// request with an unknown key with a retry time, and still serves those with known keys.
 #[test]
-fn key_unknowntoalatevmisnotrefusedforgood() {
-    let mut world = warm();
+fn key_unknowntoastalevmmayretry() {
+    let mut world = fleet_with_accounts();
     world.vms[3].store_reachable = false;
     world.vms[3].peers_reachable = false;
     world.run(Span::from_secs(3));
-    let mut now = accounts();
-    now.push(account("west", &["key-w1"], 0));
-    world.configure(config(3, now));
+    let mut with_west = accounts();
+    with_west.push(account("west", &["key-w1"], 0));
+    world.configure(config(3, with_west));
     world.run(IN_FORCE);
-    let late = outcome(&mut world, 3, request("r", "key-w1"));
+    let stale = outcome(&mut world, 3, request("r", "key-w1"));
     assert!(
         matches!(
-            late,
+            stale,
             Answer::Refused(RefusalReason::UnconfirmedKey, Some(_))
         ),
-        "{late:?}"
+        "{stale:?}"
     );
     assert!(served(&outcome(&mut world, 1, request("r", "key-w1"))));
-    // What it knows it goes on with.
+    // A key that the stale VM knows is still served.
     assert!(served(&outcome(&mut world, 3, request("r", "key-n1"))));
 }
 
-/// Public routes need no key.
+/// Requests of a public route need no key.
 #[test]
 fn route_publicneedsnokey() {
-    let mut world = warm();
-    let mut open = config(3, accounts());
-    open.routes = open.routes.iter().map(|route| public(route)).collect();
-    world.configure(open);
+    let mut world = fleet_with_accounts();
+    let mut public = config(3, accounts());
+    public.routes = public
+        .routes
+        .iter()
+        .map(|route| make_public(route))
+        .collect();
+    world.configure(public);
     world.run(IN_FORCE);
     let number = world.send_request(
         0,
@@ -119,14 +125,14 @@
     assert_eq!(world.requests[&number].accounts, vec![None]);
 }
 
-fn public(route: &Route) -> Arc<Route> {
+fn make_public(route: &Route) -> Arc<Route> {
     Arc::new(Route {
         public: true,
         ..route.clone()
     })
 }
 
-/// Without accounts in the configuration no key is needed.
+/// Requests need no key if the configuration has no accounts.
 #[test]
 fn accounts_noneconfigured() {
     let mut world = World::with_tuning(3, 2, 4, tuning());
@@ -141,10 +147,11 @@
     )));
 }
 
-/// Keys that are added, moved to another account and taken away count so on all VMs in time, also where a VM has only others to hear from.
+/// Added, moved and removed keys take effect on all VMs in time, also on a VM that can't reach the key-value
+/// service and learns of them from other VMs only.
 #[test]
 fn keys_changeeverywhere() {
-    let mut world = warm();
+    let mut world = fleet_with_accounts();
     world.vms[2].store_reachable = false;
     world.vms[5].store_reachable = false;
     let moved = vec![
@@ -154,8 +161,8 @@
     world.configure(config(3, moved));
     world.run(IN_FORCE);
     for vm in 0..6 {
-        let gone = outcome(&mut world, vm, request("r", "key-s1"));
-        assert!(!served(&gone), "vm{vm}");
+        let removed = outcome(&mut world, vm, request("r", "key-s1"));
+        assert!(!served(&removed), "vm{vm}");
         assert!(
             served(&outcome(&mut world, vm, request("r", "key-s2"))),
             "vm{vm}"
@@ -170,10 +177,11 @@
     }
 }
 
-/// A key that was taken away stays so when a VM starts again and hears only of others, and when an older configuration comes late.
+/// A removed key stays removed when VMs restart and learn the configuration from other VMs only, and when an older
+/// configuration arrives late.
 #[test]
-fn key_takenawayneverreturns() {
-    let mut world = warm();
+fn key_removedneverreturns() {
+    let mut world = fleet_with_accounts();
     let old = config(2, accounts());
     world.configure(config(3, vec![account("north", &["key-n1"], 0)]));
     world.run(IN_FORCE);
@@ -196,26 +204,27 @@
     }
 }
 
-/// The rank of the account goes before the one of the route.
+/// The priority of an account overrides that of the route.
 #[test]
-fn priority_ofaccountgoesfirst() {
-    let mut world = warm();
-    let first = Account {
+fn priority_ofaccountoverridesroute() {
+    let mut world = fleet_with_accounts();
+    let with_priority = Account {
         priority: Some(7),
         ..(*account("north", &["key-n1"], 0)).clone()
     };
-    world.configure(config(3, vec![Arc::new(first)]));
+    world.configure(config(3, vec![Arc::new(with_priority)]));
     world.run(IN_FORCE);
-    let draft = CallerRequest {
+    let to_engine = CallerRequest {
         key: Some(key("key-n1")),
         ..setup::adapter_request("r", "a1")
     };
-    let number = world.send_request(0, draft);
+    let number = world.send_request(0, to_engine);
     world.run(Span::from_secs(3));
     assert_eq!(world.requests[&number].priorities, vec![7]);
 }
 
-/// What can't be a key is none.
+/// A malformed key is rejected: an empty one, one with a space or a byte that is not printable ASCII, and one that
+/// is too long.
 #[test]
 fn key_malformedisnone() {
     for bytes in [
@@ -230,23 +239,24 @@
     assert!(AccountKey::of(&[b'k'; MAX_KEY_BYTES]).is_some());
 }
 
-/// No text of a key, of a configuration, of a request or of a log line holds the key's own text, whatever happens to the fleet.
+/// The text of a key never appears in the printed or encoded form of a key, configuration or request, nor in a log
+/// line, under random changes of the configuration, restarts and outages.
 #[test]
 fn key_isneverprinted() {
-    // Properties get their cases by value.
+    // quickcheck passes the cases of a property by value.
     #[allow(clippy::needless_pass_by_value)]
-    fn prints(text: String, steps: Vec<u8>) -> bool {
+    fn hides_key(text: String, steps: Vec<u8>) -> bool {
         let secret: String = text.chars().filter(char::is_ascii_alphanumeric).collect();
         let secret = format!("secret{secret}");
         let mut world = World::with_tuning(3, 1, 2, tuning());
-        let with = |version| config(version, vec![account("north", &[&secret], 9_000)]);
+        let with_secret = |version| config(version, vec![account("north", &[&secret], 9_000)]);
         for (at, step) in steps.iter().enumerate() {
             let version = 2 + at as u64;
             match step % 6 {
-                0 => world.configure(with(version)),
+                0 => world.configure(with_secret(version)),
                 1 => world.configure(Config {
                     accounts: Some(Vec::new()),
-                    ..with(version)
+                    ..with_secret(version)
                 }),
                 2 => world.kill(usize::from(*step) % 3, false),
                 3 => world.vms[usize::from(*step) % 3].store_reachable ^= true,
@@ -256,15 +266,15 @@
             }
             world.run(Span::from_millis(300));
         }
-        let calls = format!("{:?} {:?}", world.requests, with(1));
-        let bytes = postcard::to_stdvec(&with(1)).expect("bytes");
+        let printed = format!("{:?} {:?}", world.requests, with_secret(1));
+        let bytes = postcard::to_stdvec(&with_secret(1)).expect("bytes");
         let in_bytes = bytes.windows(secret.len()).any(|w| w == secret.as_bytes());
         !in_bytes
-            && !calls.contains(&secret)
+            && !printed.contains(&secret)
             && !world.log_lines.iter().any(|l| l.contains(&secret))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(24, 7))
         .tests(40)
-        .quickcheck(prints as fn(String, Vec<u8>) -> bool);
+        .quickcheck(hides_key as fn(String, Vec<u8>) -> bool);
 }
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -1,7 +1,7 @@
-//! Configurations in quick succession among faults of VMs and of the key-value service.
+//! Configurations written in quick succession during faults of VMs and of the key-value service.
 //!
-//! The bound is the users': a configuration is in force within two seconds on each VM that has been well for three, while the key-value
-//! service has been.
+//! The requirement: a configuration is in force within two seconds on each VM that has had no fault for three seconds,
+//! provided that the key-value service has had none either.
 
 mod support;
 
@@ -15,10 +15,10 @@
 use support::series::{FaultSeries, RECOVERY_TIME, VMS, seeds};
 use support::{Answer, accounts, config};
 
-/// Within so long a configuration is in force.
+/// The time within which a configuration is in force on a VM without faults.
 const IN_FORCE: Span = Span::from_secs(2);
 
-/// The operator writes the next configuration, if it can.
+/// Writes the next configuration as the operator, if the key-value service is up.
 fn configure(series: &mut FaultSeries, written: &mut Vec<(Instant, u64)>) {
     if series.world.store_up {
         let version = written.last().map_or(1, |(_, version)| *version) + 1;
@@ -27,7 +27,7 @@
     }
 }
 
-/// The key-value service drops its history, a server's entry goes and comes back, or one is rewritten.
+/// At random, compacts the history of the key-value service, removes and restores a server's entry, or rewrites one.
 fn churn(series: &mut FaultSeries) {
     let server = format!("e{}", series.rng.random_range(0..8));
     let world = &mut series.world;
@@ -42,11 +42,11 @@
     }
 }
 
-/// That each VM that is well has the configuration that it must have.
-fn check(series: &FaultSeries, written: &[(Instant, u64)], seed: u64) {
+/// Asserts that each VM without faults has a configuration at least as new as the one that must be in force.
+fn check_versions(series: &FaultSeries, written: &[(Instant, u64)], seed: u64) {
     let now = series.world.now;
-    let mut due = written.iter().rev();
-    let due = due.find(|(at, _)| *at + IN_FORCE <= now);
+    let mut newest_first = written.iter().rev();
+    let due = newest_first.find(|(at, _)| *at + IN_FORCE <= now);
     let Some((_, due)) = due.filter(|_| now >= series.last_store_fault + RECOVERY_TIME) else {
         return;
     };
@@ -55,12 +55,12 @@
         let version = gateway.config_version();
         assert!(
             version >= *due,
-            "seed {seed}: at {now} vm{vm} has {version} of {due}"
+            "seed {seed}: at {now} vm{vm} has version {version}, not {due} or later"
         );
     }
 }
 
-/// Random series of a minute.
+/// New configurations during a minute of random faults.
 #[test]
 fn config_isinforceamongfaults() {
     for seed in 0..seeds(10) {
@@ -73,25 +73,25 @@
             if series.rng.random_bool(0.05) {
                 configure(&mut series, &mut written);
             }
-            check(&series, &written, seed);
+            check_versions(&series, &written, seed);
         }
     }
 }
 
-/// Keys of the random series.
+/// The number of API keys.
 const KEYS: usize = 12;
 
-/// Who holds each key: the number of an account, by the number of the key.
+/// The account that holds each key: the number of the account, by the number of the key.
 type Holders = BTreeMap<usize, usize>;
 
-/// The configurations written so far, each with its time.
+/// The accounts of the configurations written so far, each with the time of the write.
 type Written = Vec<(Instant, Holders)>;
 
 fn key(number: usize) -> String {
     format!("key{number}")
 }
 
-/// Three accounts with the keys that they hold.
+/// Makes three accounts with their keys.
 fn accounts_of(holders: &Holders) -> Vec<Arc<Account>> {
     let account = |account: usize| {
         let keys = holders.iter().filter(|(_, holder)| **holder == account);
@@ -102,7 +102,7 @@
     (0..3).map(account).collect()
 }
 
-/// The operator adds a key, moves one to another account or takes one away, if it can.
+/// Writes a configuration that adds a key, moves one to another account or removes one, if the key-value service is up.
 fn change_keys(series: &mut FaultSeries, written: &mut Written) {
     if !series.world.store_up {
         return;
@@ -124,25 +124,26 @@
     written.push((series.world.now, holders));
 }
 
-/// What configurations that may be in force say of a key at a VM that is well: all written since the last one that must be.
+/// The holder of a key by each configuration that may be in force at a VM without faults: the last one that must be in
+/// force, and all written after it.
 fn holders_inforce(written: &Written, at: Instant, key: usize) -> Vec<Option<usize>> {
-    let old = written.iter().rposition(|(when, _)| *when + IN_FORCE <= at);
-    let may_be = &written[old.unwrap_or(0)..];
-    may_be
+    let newest_due = written.iter().rposition(|(when, _)| *when + IN_FORCE <= at);
+    let candidates = &written[newest_due.unwrap_or(0)..];
+    candidates
         .iter()
         .map(|(_, holders)| holders.get(&key).copied())
         .collect()
 }
 
-/// Requests with any of the keys, in random series of a minute: at a VM that is well one runs for the account that holds its key, and none
-/// is refused for good whose key is there.
+/// Requests with random keys during a minute of random faults and changes of keys. At a VM without faults a request
+/// runs for the account that holds its key, and none is refused as having an unknown key while an account holds it.
 #[test]
 fn keys_inforceamongfaults() {
     for seed in 0..seeds(10) {
         let mut series = FaultSeries::new(seed);
         let mut written: Written = vec![(series.world.now, Holders::new())];
         let end = series.world.now + Span::from_secs(60);
-        let mut asked: Vec<(u64, usize, usize)> = Vec::new();
+        let mut sent: Vec<(u64, usize, usize)> = Vec::new();
         while series.world.now < end {
             series.step();
             churn(&mut series);
@@ -155,39 +156,39 @@
             );
             let stable = series.world.now >= series.last_store_fault + RECOVERY_TIME;
             if stable && series.is_fault_free(vm, series.world.now) && written.len() > 1 {
-                let call = accounts::request("r", &key(number));
-                asked.push((series.world.send_request(vm, call), vm, number));
+                let request = accounts::request("r", &key(number));
+                sent.push((series.world.send_request(vm, request), vm, number));
             }
         }
         series.world.run(Span::from_secs(2));
-        let ran = asked
+        let ran = sent
             .iter()
             .filter(|(n, _, _)| !series.world.requests[n].runs.is_empty());
-        assert!(ran.count() > 50, "seed {seed}: hardly any request ran");
-        for (request, vm, number) in asked {
-            let asked = &series.world.requests[&request];
-            let holders = holders_inforce(&written, asked.at, number);
-            let told = asked.accounts.first().cloned().flatten();
+        assert!(ran.count() > 50, "seed {seed}: at most 50 requests ran");
+        for (request, vm, number) in sent {
+            let record = &series.world.requests[&request];
+            let holders = holders_inforce(&written, record.at, number);
+            let account = record.accounts.first().cloned().flatten();
             let names = holders
                 .iter()
                 .map(|h| h.map(|h| support::setup::name(&format!("a{h}"))));
-            if !asked.runs.is_empty() {
-                let runs_rightly = names.clone().any(|name| name == told) && told.is_some();
+            if !record.runs.is_empty() {
+                let holder_ran = names.clone().any(|name| name == account) && account.is_some();
                 assert!(
-                    runs_rightly,
-                    "seed {seed}: at {} vm{vm} ran {number} for {told:?}",
-                    asked.at
+                    holder_ran,
+                    "seed {seed}: at {} vm{vm} ran a request with key {number} for {account:?}",
+                    record.at
                 );
             }
             let refused = matches!(
-                asked.ended,
+                record.ended,
                 Some((_, Answer::Refused(RefusalReason::UnknownKey, _)))
             );
-            let there = holders.iter().all(Option::is_some);
+            let always_held = holders.iter().all(Option::is_some);
             assert!(
-                !refused || !there,
-                "seed {seed}: at {} vm{vm} refused {number}",
-                asked.at
+                !refused || !always_held,
+                "seed {seed}: at {} vm{vm} refused a request with key {number}",
+                record.at
             );
         }
     }
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that are switched off.
+//! Features: their names, and a fleet in which each is switched off.
 
 mod support;
 
@@ -8,6 +8,7 @@
 use support::World;
 use support::setup::adapter_request;
 
+/// A feature's name parses to the feature, and the error for another name lists the known ones.
 #[test]
 fn name_isreadback() {
     for (feature, name) in Feature::ALL {
@@ -18,8 +19,9 @@
     assert!(error.to_string().contains("copies"), "{error}");
 }
 
+/// A set of disabled features prints their names.
 #[test]
-fn without_namesthem() {
+fn without_printsnames() {
     assert_eq!(DisabledFeatures::default().to_string(), "-");
     let without: DisabledFeatures = [Feature::LeaseVotes, Feature::ExtraReplicas]
         .into_iter()
@@ -28,10 +30,11 @@
     assert!(!without.uses(Feature::ExtraReplicas) && without.uses(Feature::Strength));
 }
 
-/// Without any one of them, and without all, what is promised holds under an outage, a lost engine, a lost holder and new
-/// versions, and most of a quiet night is served. Engines don't check fencing numbers.
+/// With each feature switched off, and with all of them off, the invariants hold and most of a light load is served
+/// under an outage of the key-value service, the crash of an engine, the crash of the scheduler's VM and a new
+/// adapter version. Engines do not check fencing tokens.
 #[test]
-fn without_anypromisesarekept() {
+fn without_anyinvariantshold() {
     let each = Feature::ALL
         .iter()
         .map(|(feature, _)| [*feature].into_iter().collect());
@@ -54,16 +57,16 @@
                 _ => {}
             }
             world.wake_watchers();
-            let call = |at: usize| {
+            let request = |at: usize| {
                 adapter_request(&format!("r{round}-{at}"), &format!("a{}", at * 5 % 12))
             };
-            numbers.extend(world.send_requests(50, Span::from_millis(40), call));
+            numbers.extend(world.send_requests(50, Span::from_millis(40), request));
         }
         world.run(Span::from_secs(6));
         let (served, all) = (world.count_served(&numbers), numbers.len());
         assert!(
             served * 10 >= all * 7,
-            "{served} of {all} without {without}"
+            "{served} of {all} requests served without {without}"
         );
         world.check_invariants();
     }
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -1,9 +1,12 @@
-//! The limits of client accounts over all VMs together.
+//! The quotas of client accounts over all VMs together.
 //!
-//! The loads are those of a deployment with 16 accounts: most get 4,200 tokens a second, a few many times that; a request counts as
-//! some 2,400, and the usual use is 1/1.8 of the limit. So a small account sends one request a second, over as many VMs as there are,
-//! and a share of an equal split never suffices for one. The bound is the users': in no window of eight seconds more than the limit, a
-//! tenth more and 17,000 tokens, all VMs summed, in touch or not.
+//! The loads are those of a deployment with 16 accounts: most have a limit of 4,200 tokens a second, a few of many
+//! times that; a request costs about 2,400 tokens, and the usual usage is 1/1.8 of the limit. A small account
+//! therefore sends about one request a second over all VMs, and a VM's equal share of its tokens never suffices for
+//! one.
+//!
+//! The requirement: in any window of eight seconds the tokens used on all VMs together, also on VMs that can't
+//! reach each other, exceed the limit by at most a tenth and 17,000 tokens.
 
 mod support;
 
@@ -18,51 +21,55 @@
 };
 use support::series::{FaultSeries, VMS, seeds};
 
-/// A small account's tokens a second.
+/// The limit of a small account in tokens per second.
 const SMALL: u64 = 4_200;
-/// A middling one's.
-const MIDDLING: u64 = 40_000;
-/// A large one's.
+/// The limit of a medium account in tokens per second.
+const MEDIUM: u64 = 40_000;
+/// The limit of a large account in tokens per second.
 const LARGE: u64 = 400_000;
-/// A limit in proportion to the usual use.
-const ROOM: f64 = 1.8;
-/// How many times its usual use a flooding account sends.
+/// The ratio of an account's limit to its usual usage.
+const LIMIT_TO_USAGE: f64 = 1.8;
+/// The ratio of a flooding account's load to its usual usage.
 const FLOOD: f64 = 7.5;
-/// Steps of the load.
+/// The interval at which callers send requests.
 const STEP: Span = Span::from_millis(5);
 
-/// One account's callers.
+/// The callers of one account.
 struct Callers {
-    /// The account, and its key.
+    /// The name of the account, which is also its key.
     name: String,
-    /// Its tokens a second.
+    /// The limit of the account in tokens per second.
     rate: u64,
-    /// The VMs that its connections are at.
+    /// The VM of each of its connections.
     vms: Vec<usize>,
-    /// How many times its usual use it sends.
-    times: f64,
+    /// The ratio of its load to its usual usage.
+    load_factor: f64,
 }
 
 /// A fleet and the callers of its accounts.
 struct Load {
+    /// The fleet.
     world: World,
+    /// The callers of each account.
     callers: Vec<Callers>,
+    /// Random numbers of the load.
     rng: ChaCha8Rng,
+    /// The version of the last configuration.
     version: u64,
+    /// The number of requests sent.
     sent: usize,
 }
 
 impl Load {
-    /// A fleet with eight small accounts, two middling and two large ones.
+    /// Creates a fleet with eight small, two medium and two large accounts.
     fn new(vms: usize, seed: u64) -> Self {
-        Self::among(World::with_tuning(vms, 0, 4, tuning()), vms, seed)
+        Self::with_world(World::with_tuning(vms, 0, 4, tuning()), vms, seed)
     }
 
-    fn among(world: World, vms: usize, seed: u64) -> Self {
+    /// Creates the accounts in an existing fleet of `vms` VMs.
+    fn with_world(world: World, vms: usize, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let rates = [SMALL; 8]
-            .into_iter()
-            .chain([MIDDLING, MIDDLING, LARGE, LARGE]);
+        let rates = [SMALL; 8].into_iter().chain([MEDIUM, MEDIUM, LARGE, LARGE]);
         let mut callers: Vec<Callers> = Vec::new();
         for (at, rate) in rates.enumerate() {
             let connections = if rate == LARGE { 48 } else { 8 };
@@ -71,7 +78,7 @@
                 name: format!("a{at}"),
                 rate,
                 vms: vms.collect(),
-                times: 1.0,
+                load_factor: 1.0,
             });
         }
         let mut load = Self {
@@ -86,7 +93,7 @@
         load
     }
 
-    /// The operator writes the accounts as they are now.
+    /// Writes a configuration with the accounts and their present limits, as the operator.
     fn configure(&mut self) {
         self.version += 1;
         let accounts = self
@@ -97,7 +104,7 @@
             .configure(config(self.version, accounts.collect()));
     }
 
-    /// Has all callers send for a while.
+    /// Runs the fleet for a while with all callers sending.
     fn run(&mut self, span: Span) {
         let end = self.world.now + span;
         while self.world.now < end {
@@ -106,13 +113,14 @@
         }
     }
 
+    /// Sends the requests of one step, at random intervals with the callers' mean rates.
     fn send(&mut self) {
         for at in 0..self.callers.len() {
             let callers = &self.callers[at];
-            let tokens = usage(callers.rate) * callers.times * STEP.as_secs_f64();
-            let mut due = tokens / TOKENS_PER_REQUEST.as_f64();
-            while due > 0.0 && self.rng.random_bool(due.min(1.0)) {
-                due -= 1.0;
+            let tokens = usage(callers.rate) * callers.load_factor * STEP.as_secs_f64();
+            let mut expected = tokens / TOKENS_PER_REQUEST.as_f64();
+            while expected > 0.0 && self.rng.random_bool(expected.min(1.0)) {
+                expected -= 1.0;
                 let callers = &self.callers[at];
                 let vm = callers.vms[self.rng.random_range(0..callers.vms.len())];
                 self.sent += 1;
@@ -122,47 +130,57 @@
         }
     }
 
-    /// That no window saw more of an account than it may.
-    fn check(&self) {
+    /// Asserts that no window has more tokens of an account than allowed.
+    fn check_limits(&self) {
         for callers in &self.callers {
-            let worst = peak_window_tokens(&self.world, &callers.name);
+            let peak = peak_window_tokens(&self.world, &callers.name);
             let allowed = allowed_in_window(callers.rate);
-            assert!(worst <= allowed, "{}: {worst} of {allowed}", callers.name);
+            assert!(
+                peak <= allowed,
+                "{}: {peak} tokens in a window, {allowed} allowed",
+                callers.name
+            );
         }
         self.world.check_invariants();
     }
 
-    /// The part in a hundred that was refused, of the requests that accounts sent in a time: those that flood or the others.
-    fn refused(&self, floods: bool, from: Instant, until: Instant) -> f64 {
-        let shares = served_and_sent(&self.world, from, until);
+    /// The percentage of requests sent between two times that were refused, of the flooding accounts or of the others.
+    fn refused_percent(&self, flooding: bool, from: Instant, until: Instant) -> f64 {
+        let counts = served_and_sent(&self.world, from, until);
         let (mut served, mut sent) = (0, 0);
-        for callers in self.callers.iter().filter(|c| (c.times > 1.0) == floods) {
-            let (some, all) = shares.get(&callers.name).copied().unwrap_or_default();
-            served += some;
-            sent += all;
+        for callers in self
+            .callers
+            .iter()
+            .filter(|c| (c.load_factor > 1.0) == flooding)
+        {
+            let (account_served, account_sent) =
+                counts.get(&callers.name).copied().unwrap_or_default();
+            served += account_served;
+            sent += account_sent;
         }
         percent(sent - served, sent)
     }
 
-    /// Has the accounts of these numbers send many times their usual.
+    /// Makes the accounts with these numbers send many times their usual load.
     fn flood(&mut self, accounts: &[usize]) {
         for at in accounts {
-            self.callers[*at].times = FLOOD;
+            self.callers[*at].load_factor = FLOOD;
         }
     }
 
-    /// Has all callers send for a while, and checks all. Gives the part in a hundred that was refused of what was within its limit.
-    fn play(&mut self, span: Span) -> f64 {
+    /// Runs the fleet for a while with all callers sending, and checks the limits. Returns the percentage of
+    /// requests that were refused, of accounts that stay within their limits.
+    fn run_and_check(&mut self, span: Span) -> f64 {
         let begin = self.world.now;
         self.run(span);
         let end = self.world.now;
         self.world.run(Span::from_secs(1));
-        self.check();
-        self.refused(false, begin, end)
+        self.check_limits();
+        self.refused_percent(false, begin, end)
     }
 
-    /// Messages on tokens so far.
-    fn messages(&self) -> u64 {
+    /// The number of messages on tokens that VMs have sent so far.
+    fn token_messages(&self) -> u64 {
         let kinds = ["draw", "grant", "collect", "deposit"];
         let sent = kinds
             .iter()
@@ -170,37 +188,38 @@
         sent.sum()
     }
 
-    /// What an account got in a time, as a part of its rate.
-    fn got(&self, at: usize, from: Instant, until: Instant) -> f64 {
+    /// The tokens that an account used between two times, as a fraction of its rate.
+    fn used_fraction(&self, at: usize, from: Instant, until: Instant) -> f64 {
         let callers = &self.callers[at];
         let (served, _) = served_and_sent(&self.world, from, until)[&callers.name];
         let served = u32::try_from(served).expect("few");
-        let rate = usage(callers.rate) * ROOM * until.since(from).as_secs_f64();
+        let rate = usage(callers.rate) * LIMIT_TO_USAGE * until.since(from).as_secs_f64();
         f64::from(served) * TOKENS_PER_REQUEST.as_f64() / rate
     }
 }
 
-/// An account's usual use in tokens a second.
+/// The usual usage of an account with this limit, in tokens per second.
 fn usage(rate: u64) -> f64 {
-    f64::from(u32::try_from(rate).expect("small")) / ROOM
+    f64::from(u32::try_from(rate).expect("small")) / LIMIT_TO_USAGE
 }
 
-fn percent(some: usize, all: usize) -> f64 {
+fn percent(part: usize, all: usize) -> f64 {
     let number = |count: usize| f64::from(u32::try_from(count).expect("few"));
-    100.0 * number(some) / number(all.max(1))
+    100.0 * number(part) / number(all.max(1))
 }
 
-/// A quiet time: nothing within the limit is refused, small accounts as little as large ones.
+/// With the usual load of all accounts almost nothing is refused, whatever the size of the account.
 #[test]
-fn quiet_nothingisrefused() {
+fn usualload_nothingisrefused() {
     for (vms, seed) in [(6, 1), (70, 2), (70, 3), (300, 4)] {
         let mut load = Load::new(vms, seed);
-        let refused = load.play(Span::from_secs(12));
-        assert!(refused < 0.3, "{vms} VMs: {refused} in a hundred");
+        let refused = load.run_and_check(Span::from_secs(12));
+        assert!(refused < 0.3, "{vms} VMs: {refused} % refused");
     }
 }
 
-/// Some accounts send many times their usual: they get what they may, and nobody else is refused for it.
+/// Some accounts send many times their usual load. They get the tokens of their limits, and requests of other accounts
+/// are not refused for it.
 #[test]
 fn flood_leavesothersalone() {
     for (vms, seed) in [(6, 1), (70, 2), (300, 3)] {
@@ -208,19 +227,23 @@
         load.run(Span::from_secs(4));
         let begin = load.world.now;
         load.flood(&[0, 8, 10]);
-        let refused = load.play(Span::from_secs(10));
+        let refused = load.run_and_check(Span::from_secs(10));
         let end = begin + Span::from_secs(10);
-        assert!(refused < 1.0, "{vms} VMs: {refused} in a hundred");
+        assert!(refused < 1.0, "{vms} VMs: {refused} % refused");
         for at in [8, 10] {
-            let got = load.got(at, begin, end);
-            assert!(got > 0.9, "{vms} VMs: account {at} got {got} of its rate");
+            let used = load.used_fraction(at, begin, end);
+            assert!(
+                used > 0.9,
+                "{vms} VMs: account {at} used {used} of its rate"
+            );
         }
     }
 }
 
-/// A third of the VMs is cut off from all others and from the key-value service while accounts flood.
+/// A third of the VMs is partitioned from all others and from the key-value service while accounts flood. Both
+/// sides keep their shares, and together they stay within the limits.
 #[test]
-fn cut_leavesboththeirshares() {
+fn partition_bothsideskeepshares() {
     let mut load = Load::new(70, 5);
     load.flood(&[0, 8, 10]);
     load.run(Span::from_secs(4));
@@ -236,14 +259,15 @@
         load.world.vms[vm].store_reachable = true;
     }
     load.run(Span::from_secs(6));
-    load.check();
-    let refused = load.refused(false, begin, end);
-    assert!(refused < 10.0, "{refused} in a hundred");
+    load.check_limits();
+    let refused = load.refused_percent(false, begin, end);
+    assert!(refused < 10.0, "{refused} % refused");
 }
 
-/// All VMs are killed again and again while accounts flood: what one start has used the next one does not have once more.
+/// All VMs are killed repeatedly while accounts flood. A new process must not have the tokens again that the process
+/// before it has used.
 #[test]
-fn restarts_repeatnothing() {
+fn restarts_grantnothingtwice() {
     let mut load = Load::new(24, 6);
     load.flood(&[0, 8, 10]);
     for _ in 0..6 {
@@ -253,15 +277,15 @@
         }
     }
     load.run(Span::from_secs(4));
-    load.check();
+    load.check_limits();
 }
 
-/// The strongest VMs, one of which keeps the pool, are killed, stand still or are cut off in turn.
+/// The strongest VMs, one of which is the pool owner, are killed, frozen or disconnected in turn.
 #[test]
-fn keeper_failsagainandagain() {
+fn poolowner_failsrepeatedly() {
     let strengths: Vec<u32> = (0..70).map(|vm| if vm < 6 { 50 } else { 12 }).collect();
     let world = World::with_strengths(&strengths, 0, 4, tuning());
-    let mut load = Load::among(world, 70, 7);
+    let mut load = Load::with_world(world, 70, 7);
     load.flood(&[0, 8, 10]);
     let begin = load.world.now;
     for round in 0..12 {
@@ -276,94 +300,100 @@
     }
     let end = load.world.now;
     load.world.run(Span::from_secs(1));
-    load.check();
-    let refused = load.refused(false, begin, end);
-    assert!(refused < 10.0, "{refused} in a hundred");
+    load.check_limits();
+    let refused = load.refused_percent(false, begin, end);
+    assert!(refused < 10.0, "{refused} % refused");
 }
 
-/// A limit falls to a tenth while its account floods: the lower one holds a window after it is in force.
+/// The limit of an account is lowered to a tenth while the account floods. The lower limit holds from the time at
+/// which it is in force.
 #[test]
-fn limit_fallsinaflood() {
+fn limit_loweredinaflood() {
     let mut load = Load::new(24, 8);
     load.flood(&[10]);
     load.run(Span::from_secs(4));
     load.callers[10].rate = LARGE / 10;
-    load.callers[10].times = FLOOD * 10.0;
+    load.callers[10].load_factor = FLOOD * 10.0;
     load.configure();
     load.run(Span::from_secs(2));
     load.world.requests.clear();
     load.run(Span::from_secs(12));
-    load.check();
+    load.check_limits();
 }
 
-/// All connections of an account move to one VM in an instant.
+/// All connections of an account move to one VM at the same time.
 #[test]
 fn connections_moveatonce() {
     for account in [0, 8, 10] {
         let mut load = Load::new(70, 9);
         load.run(Span::from_secs(4));
         load.callers[account].vms = vec![60];
-        let refused = load.play(Span::from_secs(8));
-        assert!(refused < 1.0, "account {account}: {refused} in a hundred");
+        let refused = load.run_and_check(Span::from_secs(8));
+        assert!(refused < 1.0, "account {account}: {refused} % refused");
     }
 }
 
-/// Callers that are over the limit are told at once, and not to come back together.
+/// Requests over the limit are refused within 400 ms, and the retry times are spread so that callers do not come
+/// back all at once.
 #[test]
-fn refusal_spreadscallers() {
+fn refusal_spreadsretries() {
     let mut load = Load::new(70, 10);
     load.flood(&[10]);
     load.run(Span::from_secs(6));
-    let mut returns: Vec<u64> = Vec::new();
-    for asked in load.world.requests.values() {
-        if let Some((at, support::Answer::Refused(_, Some(after)))) = &asked.ended {
+    let mut retries: Vec<u64> = Vec::new();
+    for record in load.world.requests.values() {
+        if let Some((at, support::Answer::Refused(_, Some(after)))) = &record.ended {
             assert!(
-                at.since(asked.at) < Span::from_millis(400),
+                at.since(record.at) < Span::from_millis(400),
                 "{}",
-                asked.request.id
+                record.request.id
             );
-            returns.push((*at + *after).0 / 100_000);
+            retries.push((*at + *after).0 / 100_000);
         }
     }
-    let all = returns.len();
-    returns.sort_unstable();
-    let most = returns.chunk_by(|a, b| a == b).map(<[u64]>::len).max();
+    let all = retries.len();
+    retries.sort_unstable();
+    let most = retries.chunk_by(|a, b| a == b).map(<[u64]>::len).max();
     let most = most.expect("some are refused");
-    assert!(most * 10 < all, "{most} of {all} come back within 100 ms");
+    assert!(
+        most * 10 < all,
+        "{most} of {all} retry within the same 100 ms"
+    );
 }
 
-/// An account that does with its share costs no message.
+/// An account for which the VMs' own shares suffice causes no messages.
 #[test]
 fn messages_nonewhilesharessuffice() {
     let mut load = Load::new(6, 11);
     for callers in &mut load.callers {
-        callers.times = if callers.rate == LARGE { 0.3 } else { 0.0 };
+        callers.load_factor = if callers.rate == LARGE { 0.3 } else { 0.0 };
         callers.vms = (0..6).collect();
     }
-    let before = load.messages();
+    let before = load.token_messages();
     load.run(Span::from_secs(10));
     assert!(load.sent > 500, "{}", load.sent);
-    assert_eq!(load.messages(), before);
+    assert_eq!(load.token_messages(), before);
 }
 
-/// Without the pool an equal split serves small accounts nothing: a share never holds the tokens of one request.
+/// Without the token pool an equal split serves no request of a small account, since a VM's share never has the
+/// tokens of one request. This shows why the pool is needed.
 #[test]
 fn split_alonestarvessmallaccounts() {
     let without = DisabledFeatures::from_iter([Feature::TokenPool]);
     let world = World::without_features(70, 0, 4, tuning(), without);
-    let mut load = Load::among(world, 70, 2);
+    let mut load = Load::with_world(world, 70, 2);
     load.run(Span::from_secs(8));
-    load.check();
-    let shares = served_and_sent(&load.world, Instant::default(), load.world.now);
-    assert_eq!(shares["a0"].0, 0);
+    load.check_limits();
+    let counts = served_and_sent(&load.world, Instant::default(), load.world.now);
+    assert_eq!(counts["a0"].0, 0);
 }
 
-/// Random series of faults while accounts flood in turn.
+/// The limits hold during random faults while accounts start and stop flooding.
 #[test]
 fn limits_holdamongfaults() {
     for seed in 0..seeds(10) {
         let mut series = FaultSeries::with_tuning(seed, tuning());
-        let mut load = Load::among(
+        let mut load = Load::with_world(
             std::mem::replace(&mut series.world, World::new(0, 0, 0)),
             VMS,
             seed,
@@ -374,17 +404,17 @@
             std::mem::swap(&mut series.world, &mut load.world);
             if series.rng.random_bool(0.02) {
                 let at = series.rng.random_range(0..load.callers.len());
-                let flooding = load.callers[at].times > 1.0;
-                load.callers[at].times = if flooding { 1.0 } else { FLOOD };
+                let flooding = load.callers[at].load_factor > 1.0;
+                load.callers[at].load_factor = if flooding { 1.0 } else { FLOOD };
             }
             load.run(Span::from_millis(20));
         }
         for callers in &load.callers {
-            let worst = peak_window_tokens(&load.world, &callers.name);
+            let peak = peak_window_tokens(&load.world, &callers.name);
             let allowed = allowed_in_window(callers.rate);
             assert!(
-                worst <= allowed,
-                "seed {seed} {}: {worst} of {allowed}",
+                peak <= allowed,
+                "seed {seed} {}: {peak} tokens in a window, {allowed} allowed",
                 callers.name
             );
         }
@@ -392,7 +422,8 @@
     }
 }
 
-/// Callers leave while they wait for tokens: what was drawn for them serves the next requests at their VMs.
+/// Callers leave while their requests wait for tokens. The tokens that are granted for them serve the next requests at
+/// their VMs, without another token request.
 #[test]
 fn caller_leavingcostsnotokens() {
     let mut load = Load::new(6, 12);
@@ -403,42 +434,43 @@
         load.world.disconnect_caller(number);
         load.world.run(Span::from_millis(20));
     }
-    let before = load.messages();
+    let before = load.token_messages();
     for vm in 0..2 {
         load.world
             .send_request(vm, request(&format!("a0-{vm}"), "a0"));
     }
     load.world.run(Span::from_secs(1));
-    load.check();
-    let all = served_and_sent(&load.world, Instant::default(), load.world.now);
-    assert_eq!(all["a0"], (2, 2));
-    assert_eq!(load.messages(), before);
+    load.check_limits();
+    let counts = served_and_sent(&load.world, Instant::default(), load.world.now);
+    assert_eq!(counts["a0"], (2, 2));
+    assert_eq!(load.token_messages(), before);
 }
 
-/// Requests whose servers can't be reached don't run: each gives all its tokens back, also where its VM's share holds more than that.
+/// Requests whose servers can't be reached do not run. Each returns all its tokens, also if its VM's share holds more
+/// tokens than the request costs.
 #[test]
-fn tokens_ofwhatdidnotrunareback() {
+fn tokens_ofunrunrequestsarereturned() {
     let mut load = Load::new(6, 13);
-    let before = load.messages();
-    let ask = |load: &mut Load, times: usize| {
-        for at in 0..times {
+    let before = load.token_messages();
+    let send = |load: &mut Load, count: usize| {
+        for at in 0..count {
             load.world
                 .send_request(at % 6, request(&format!("a10-{at}"), "a10"));
         }
         load.world.run(Span::from_millis(20));
     };
-    let reach = |load: &mut Load, up: bool| {
+    let set_servers = |load: &mut Load, up: bool| {
         for (server, _) in load.world.servers.values_mut() {
             server.up = up;
         }
     };
-    reach(&mut load, false);
+    set_servers(&mut load, false);
     for _ in 0..6 {
-        ask(&mut load, 60);
+        send(&mut load, 60);
     }
-    reach(&mut load, true);
-    ask(&mut load, 60);
+    set_servers(&mut load, true);
+    send(&mut load, 60);
     load.world.run(Span::from_secs(1));
-    load.check();
-    assert_eq!(load.messages(), before);
+    load.check_limits();
+    assert_eq!(load.token_messages(), before);
 }
