--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -135,8 +135,8 @@
     vm_count: Option<(usize, Instant)>,
     /// The start time of this VM's process.
     started: Instant,
-    /// Whether the key-value service still had the entry of an earlier process of this VM. Then it has those of the
-    /// other VMs too, and their number is right.
+    /// Whether the key-value service still had the entry of an earlier process of this VM. In that case it also has the
+    /// entries of the other VMs, so that the number of VMs is known.
     restarted: bool,
 }
 
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -29,7 +29,8 @@
 /// How long a VM that did not answer a token request is not asked again.
 const EXCLUSION_TIME: Span = Span::from_secs(4);
 
-/// How long requests of an account are refused without asking after the pool owner has refused one, at most.
+/// Limit on the time for which requests of an account are refused without asking the pool owner again, after it has
+/// refused one.
 const EXHAUSTED_TIME: Span = Span::from_millis(100);
 
 /// The time after which a caller may retry if no pool owner answers.
