--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -1,4 +1,4 @@
-//! A fleet without trouble.
+//! Serves requests in a fleet without faults, and around the start of a VM.
 
 mod support;
 
@@ -7,7 +7,8 @@
 use support::setup::{request, work};
 use support::{Answer, World};
 
-fn ready() -> World {
+/// Returns a fleet that has run for 2 s without load.
+fn ready_world() -> World {
     let mut world = World::new(3, 4, 2);
     world.run(Span::from_secs(2));
     world
@@ -15,16 +16,17 @@
 
 #[test]
 fn plain_isserved() {
-    let mut world = ready();
+    let mut world = ready_world();
     let number = world.send_request(0, request("a", "/query/x", 4_000, None));
     world.run(Span::from_secs(1));
     assert!(matches!(world.answer(number), Some(Answer::Served(_))));
     world.check_invariants();
 }
 
+/// The first chunk of an answer comes within 500 ms, although no engine holds the adapter.
 #[test]
-fn draft_coldisloadedandserved() {
-    let mut world = ready();
+fn adapter_notresidentisloadedandserved() {
+    let mut world = ready_world();
     let number = world.send_request(
         1,
         request("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))),
@@ -36,8 +38,8 @@
 }
 
 #[test]
-fn draft_warmneedsnoload() {
-    let mut world = ready();
+fn adapter_residentneedsnoload() {
+    let mut world = ready_world();
     for at in 0..10 {
         world.send_request(
             at % 3,
@@ -52,7 +54,7 @@
 
 #[test]
 fn route_unknownisrefused() {
-    let mut world = ready();
+    let mut world = ready_world();
     let number = world.send_request(0, request("a", "/none/x", 4_000, None));
     world.run(Span::from_millis(1));
     assert_eq!(
@@ -61,8 +63,9 @@
     );
 }
 
-/// The key-value service is away when a VM starts: what came at once is refused as soon as it is clear that the configuration does
-/// not come soon, and what comes later at once.
+/// The key-value service is unreachable when a VM starts. A request that comes at the start is refused within
+/// 310 ms, when the VM knows that the configuration will not come soon. A later request is refused at once.
+/// Both refusals name a retry delay.
 #[test]
 fn config_unknownisrefusedwithtime() {
     let mut world = World::new(1, 1, 1);
@@ -78,23 +81,24 @@
     }
 }
 
-/// Callers wait at each VM when all start again, before these know their configuration: none of them is refused.
+/// All VMs restart, and callers send requests before the VMs have a configuration. All requests are served
+/// later.
 #[test]
 fn start_servescallersthatwait() {
-    let mut world = ready();
+    let mut world = ready_world();
     for vm in 0..3 {
         world.kill(vm, false);
     }
     world.run(Span::from_millis(401));
-    let call = |at| request(&format!("r{at}"), "/query/x", 4_000, None);
-    let numbers = world.send_requests(120, Span::ZERO, call);
+    let request = |at| request(&format!("r{at}"), "/query/x", 4_000, None);
+    let numbers = world.send_requests(120, Span::ZERO, request);
     assert_eq!(numbers.len(), 120);
     world.run(Span::from_secs(3));
     assert_eq!(world.count_served(&numbers), numbers.len());
     world.check_invariants();
 }
 
-/// A caller leaves before the configuration is there: nothing is sent for it.
+/// A caller disconnects before the VM has a configuration. The VM sends nothing to a server.
 #[test]
 fn start_sendsnothingforacallerthatleft() {
     let mut world = World::new(1, 1, 1);
@@ -106,8 +110,8 @@
 }
 
 #[test]
-fn places_neverexceeded() {
-    let mut world = ready();
+fn adapterslots_neverexceeded() {
+    let mut world = ready_world();
     for at in 0..200_u32 {
         let adapter = format!("a{}", at * 7 % 61);
         world.send_request(
