--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -1,9 +1,11 @@
-//! What the scheduler costs its VM: processor time a request and a run, as the engines of a service grow in number with the
-//! requests for them. Prints one JSON line a size, and the cost a request as a ratio to the first size.
+//! Measures the processor time of the scheduler per request and per run, for services of different size. The
+//! load grows with the number of engines. Prints one JSON line for each size; `ratio` compares the cost per
+//! request with that of the first size.
 //!
-//! The load is that of a heavy day after a burst: ten requests a second for each engine, each for one of a hundred adapters an
-//! engine by Zipf's law, prompts of 1,800 tokens, answers of one second. More wait than can be served, so that some hundred
-//! requests are always there to be looked at.
+//! The load is that of a busy day after a burst: ten requests a second per engine, each to one of a hundred
+//! adapters per engine, chosen by Zipf's law, with prompts of 1,800 tokens and answers of one second. More
+//! requests come than can be served, so that some hundred requests are always queued for each run to
+//! consider.
 //!
 //! `cargo bench -p dahliastile-gateway --bench scheduler -- --engines 100,400 --rate 10`
 #![allow(missing_docs, unreachable_pub, clippy::pedantic)]
@@ -11,7 +13,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
-use std::time::Instant as Wall;
+use std::time::Instant as WallInstant;
 
 use dahliastile_core::id::{Incarnation, Server, Vm};
 use dahliastile_core::time::{Instant, Span};
@@ -26,51 +28,68 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
 
-/// Requests a second for each engine, unless `--rate` says otherwise.
-const RATE: f64 = 10.0;
-/// Adapters for each engine.
+/// Requests a second per engine, unless `--rate` sets another rate.
+const REQUESTS_PER_ENGINE: f64 = 10.0;
+/// Number of adapters per engine.
 const ADAPTERS: usize = 100;
-/// Skew of the adapters' popularity.
-const SKEW: f64 = 1.2;
-/// Tokens of a prompt.
-const PROMPT: u32 = 1_800;
-/// The time from a request's place to its first event: some prompts before it, and its own.
-const FIRST: Span = Span::from_millis(300);
-/// The time of its answer after that.
-const ANSWER: Span = Span::from_millis(700);
-/// VMs that ask.
+/// Exponent of the Zipf distribution of requests over adapters.
+const ZIPF_EXPONENT: f64 = 1.2;
+/// Tokens of each prompt.
+const PROMPT_TOKENS: u32 = 1_800;
+/// Time from a request's placement to the start of its answer: the prefill of some earlier prompts and of its
+/// own prompt.
+const ANSWER_START: Span = Span::from_millis(300);
+/// Time from the start of an answer to its end.
+const ANSWER_DURATION: Span = Span::from_millis(700);
+/// Number of VMs that send placement requests.
 const VMS: usize = 80;
-/// Virtual time measured, after as much to warm up.
-const SPAN: Span = Span::from_secs(5);
+/// Virtual time of the measurement, and of the warm-up before it.
+const MEASURED_SPAN: Span = Span::from_secs(5);
 
-enum Next {
-    Begun(Vm, RequestId),
-    Over(Vm, RequestId),
-    OrderOutcome(u64),
-    Reported(Server),
+/// What a VM or an engine does in response to a decision of the scheduler.
+enum Response {
+    /// The answer to a request started.
+    AnswerStarted(Vm, RequestId),
+    /// The answer to a request ended.
+    AnswerEnded(Vm, RequestId),
+    /// An engine accepted an order.
+    OrderAccepted(u64),
+    /// An engine answered a report query.
+    ReportReceived(Server),
 }
 
+/// A scheduler with its simulated VMs and engines.
 struct Fleet {
     scheduler: Scheduler,
     now: Instant,
     rng: ChaCha8Rng,
     adapters: Zipf<f64>,
     vms: Vec<Vm>,
+    /// Time and index of each scheduled response, the earliest first.
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
-    nexts: Vec<Option<Next>>,
-    last: RequestId,
-    owed: f64,
+    responses: Vec<Option<Response>>,
+    last_request: RequestId,
+    /// Requests that are due and not sent, with a fraction.
+    due_requests: f64,
     engines: usize,
+    /// Requests a second per engine.
     rate: f64,
 }
 
+/// Counts and processor times of a measurement.
 #[derive(Default)]
 struct Cost {
+    /// Runs that were due.
     runs: u64,
-    running: u64,
-    events: u64,
+    /// Nanoseconds spent in runs.
+    run_ns: u64,
+    /// Nanoseconds spent on events.
+    event_ns: u64,
+    /// Requests that came in.
     requests: u64,
+    /// Requests that were placed at an engine.
     placed: u64,
+    /// Requests that were refused.
     refused: u64,
 }
 
@@ -88,7 +107,7 @@
     }
 }
 
-fn application() -> ServiceConfig {
+fn service_config() -> ServiceConfig {
     ServiceConfig {
         name: "drafts".parse().unwrap(),
         engine: Some(EngineSpec {
@@ -110,19 +129,19 @@
 impl Fleet {
     fn new(engines: usize, rate: f64) -> Self {
         let now = Instant::default() + Span::from_secs(100);
-        let mut scheduler = Scheduler::new(now, &application(), 1, settings());
+        let mut scheduler = Scheduler::new(now, &service_config(), 1, settings());
         scheduler.set_vm_count(VMS);
         let mut fleet = Self {
             now,
             rng: ChaCha8Rng::seed_from_u64(1),
-            adapters: Zipf::new((engines * ADAPTERS) as f64, SKEW).unwrap(),
+            adapters: Zipf::new((engines * ADAPTERS) as f64, ZIPF_EXPONENT).unwrap(),
             vms: (0..VMS)
                 .map(|n| format!("vm{n}").parse().unwrap())
                 .collect(),
             queue: BinaryHeap::new(),
-            nexts: Vec::new(),
-            last: 0,
-            owed: 0.0,
+            responses: Vec::new(),
+            last_request: 0,
+            due_requests: 0.0,
             engines,
             rate,
             scheduler,
@@ -143,9 +162,9 @@
         fleet
     }
 
-    fn later(&mut self, span: Span, next: Next) {
-        let number = self.nexts.len() as u64;
-        self.nexts.push(Some(next));
+    fn schedule(&mut self, span: Span, response: Response) {
+        let number = self.responses.len() as u64;
+        self.responses.push(Some(response));
         self.queue.push(Reverse((self.now + span, number)));
     }
 
@@ -154,35 +173,35 @@
         let end = self.now + span;
         while self.now < end {
             self.now += Span::from_millis(1);
-            self.arrive(&mut cost);
-            self.happen(&mut cost);
+            self.send_requests(&mut cost);
+            self.deliver_responses(&mut cost);
             let due = self.scheduler.next_run() <= self.now;
             let mut out = Vec::new();
-            let wall = Wall::now();
+            let started = WallInstant::now();
             self.scheduler.run(self.now, &mut out);
-            cost.running += wall.elapsed().as_nanos() as u64;
+            cost.run_ns += started.elapsed().as_nanos() as u64;
             cost.runs += u64::from(due);
             for decision in out {
-                self.carry_out(decision, &mut cost);
+                self.apply_decision(decision, &mut cost);
             }
         }
         cost
     }
 
-    fn arrive(&mut self, cost: &mut Cost) {
-        self.owed += self.engines as f64 * self.rate / 1_000.0;
-        while self.owed >= 1.0 {
-            self.owed -= 1.0;
-            self.last += 1;
+    fn send_requests(&mut self, cost: &mut Cost) {
+        self.due_requests += self.engines as f64 * self.rate / 1_000.0;
+        while self.due_requests >= 1.0 {
+            self.due_requests -= 1.0;
+            self.last_request += 1;
             let adapter = self.adapters.sample(&mut self.rng) as u64;
             let vm = self.vms[self.rng.random_range(0..VMS)].clone();
-            let want = PlacementRequest {
-                request: self.last,
-                id: format!("{:016x}", self.last).into(),
+            let placement_request = PlacementRequest {
+                request: self.last_request,
+                id: format!("{:016x}", self.last_request).into(),
                 work: InferenceSpec {
                     model: "base".into(),
                     adapter: Some(format!("a{adapter}").into()),
-                    prompt_tokens: PROMPT,
+                    prompt_tokens: PROMPT_TOKENS,
                     max_output_tokens: 80,
                     prompt_parts: Arc::default(),
                 },
@@ -190,38 +209,38 @@
                 objective: Span::from_millis(1_000),
                 left: Span::from_millis(4_000),
                 priority: 1,
-                zone: format!("z{}", self.last % 6).parse().unwrap(),
+                zone: format!("z{}", self.last_request % 6).parse().unwrap(),
                 failed: Vec::new(),
             };
-            let wall = Wall::now();
-            self.scheduler.enqueue(self.now, &vm, want);
-            cost.events += wall.elapsed().as_nanos() as u64;
+            let started = WallInstant::now();
+            self.scheduler.enqueue(self.now, &vm, placement_request);
+            cost.event_ns += started.elapsed().as_nanos() as u64;
             cost.requests += 1;
         }
     }
 
-    fn happen(&mut self, cost: &mut Cost) {
+    fn deliver_responses(&mut self, cost: &mut Cost) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at > self.now {
                 break;
             }
             self.queue.pop();
-            let next = self.nexts[number as usize].take();
-            let wall = Wall::now();
-            match next {
-                Some(Next::Begun(vm, request)) => {
+            let response = self.responses[number as usize].take();
+            let started = WallInstant::now();
+            match response {
+                Some(Response::AnswerStarted(vm, request)) => {
                     self.scheduler
                         .update_progress(self.now, &vm, request, Progress::AnswerStarted);
                 }
-                Some(Next::Over(vm, request)) => {
+                Some(Response::AnswerEnded(vm, request)) => {
                     self.scheduler
                         .update_progress(self.now, &vm, request, Progress::Finished);
                 }
-                Some(Next::OrderOutcome(order)) => {
+                Some(Response::OrderAccepted(order)) => {
                     self.scheduler
                         .handle_order_outcome(self.now, order, OrderOutcome::Accepted);
                 }
-                Some(Next::Reported(server)) => {
+                Some(Response::ReportReceived(server)) => {
                     let report = Report {
                         models: vec![ResidentModel {
                             model: "base".into(),
@@ -238,21 +257,26 @@
                 }
                 None => {}
             }
-            cost.events += wall.elapsed().as_nanos() as u64;
+            cost.event_ns += started.elapsed().as_nanos() as u64;
         }
     }
 
-    fn carry_out(&mut self, decision: Decision, cost: &mut Cost) {
+    fn apply_decision(&mut self, decision: Decision, cost: &mut Cost) {
         match decision {
             Decision::Place(vm, request, ..) => {
                 cost.placed += 1;
-                self.later(FIRST, Next::Begun(vm.clone(), request));
-                self.later(FIRST + ANSWER, Next::Over(vm, request));
+                self.schedule(ANSWER_START, Response::AnswerStarted(vm.clone(), request));
+                self.schedule(
+                    ANSWER_START + ANSWER_DURATION,
+                    Response::AnswerEnded(vm, request),
+                );
             }
             Decision::Refuse(..) => cost.refused += 1,
-            Decision::Order(id, ..) => self.later(Span::from_millis(3), Next::OrderOutcome(id)),
+            Decision::Order(id, ..) => {
+                self.schedule(Span::from_millis(3), Response::OrderAccepted(id))
+            }
             Decision::QueryReport(server, _) => {
-                self.later(Span::from_millis(3), Next::Reported(server));
+                self.schedule(Span::from_millis(3), Response::ReportReceived(server));
             }
             _ => {}
         }
@@ -267,23 +291,23 @@
     };
     let sizes = value("--engines").map_or("78", String::as_str);
     let rate = value("--rate").and_then(|rate| rate.parse().ok());
-    let rate = rate.unwrap_or(RATE);
-    let mut first = None;
+    let rate = rate.unwrap_or(REQUESTS_PER_ENGINE);
+    let mut first_cost = None;
     for engines in sizes.split(',').filter_map(|size| size.parse().ok()) {
         let mut fleet = Fleet::new(engines, rate);
-        fleet.run(SPAN);
-        let cost = fleet.run(SPAN);
-        let each = cost.running as f64 / cost.requests as f64;
-        let ratio = each / *first.get_or_insert(each);
+        fleet.run(MEASURED_SPAN);
+        let cost = fleet.run(MEASURED_SPAN);
+        let request_ns = cost.run_ns as f64 / cost.requests as f64;
+        let ratio = request_ns / *first_cost.get_or_insert(request_ns);
         println!(
             "{{\"engines\":{engines},\"requests\":{},\"placed\":{},\"refused\":{},\"runs\":{},\"run_us\":{:.1},\"request_us\":{:.2},\"events_us\":{:.2},\"ratio\":{ratio:.2}}}",
             cost.requests,
             cost.placed,
             cost.refused,
             cost.runs,
-            cost.running as f64 / 1_000.0 / cost.runs.max(1) as f64,
-            each / 1_000.0,
-            cost.events as f64 / 1_000.0 / cost.requests as f64,
+            cost.run_ns as f64 / 1_000.0 / cost.runs.max(1) as f64,
+            request_ns / 1_000.0,
+            cost.event_ns as f64 / 1_000.0 / cost.requests as f64,
         );
     }
 }
