--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -118,7 +118,7 @@
     name(&format!("engine-{number}"))
 }
 
-/// Returns the report of an engine that holds four adapters.
+/// Returns the report of an engine that holds as many adapters as it can: four.
 fn report(server: &Server) -> Report {
     let resident = |number: usize| Resident {
         adapter: format!("{server}-adapter-{number}").into(),
