--- a/crates/gateway/tests/support/world/crash.rs
+++ b/crates/gateway/tests/support/world/crash.rs
@@ -16,7 +16,7 @@
 use crate::support::engine::Engine;
 use crate::support::setup::engine_config;
 
-/// Time that a request that crashes its server runs there before the crash.
+/// Time from the start of an answer to the crash that its request causes at the server.
 pub(super) const CRASH_DELAY: Span = Span::from_millis(60);
 /// Time from a server's crash to the removal of its entry.
 const ENTRY_REMOVAL_DELAY: Span = Span::from_millis(2_800);
