--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,9 +1,12 @@
-//! The scheduler of one service's engines: which adapter is loaded where, and which request goes to which engine.
+//! Schedules the requests and adapters of one service: chooses which engine holds which adapter, and which
+//! engine runs which request.
 //!
-//! It runs on the VM that holds the service's leadership. VMs ask it for a place for each request and tell it how the
-//! request goes, so it knows what runs where without asking the engines. An adapter that a request uses is never
-//! chosen to make room, and the engines themselves refuse what they can't run.
+//! The scheduler runs on the VM that holds the service's leadership. The VMs ask it for a placement of each
+//! request and report the progress of the request to it, so the scheduler knows the load of each engine without
+//! polling the engines. It never evicts an adapter that a running request uses, and an engine itself rejects a
+//! request that it cannot run.
 
+mod adapter;
 mod adapter_cache;
 mod admission;
 mod capacity;
@@ -13,8 +16,6 @@
 mod engine;
 mod forecast;
 mod host;
-mod job;
-mod key;
 mod load;
 mod order;
 mod popularity;
@@ -23,6 +24,7 @@
 mod residency;
 mod run;
 mod run_interval;
+mod scheduled_request;
 mod summary;
 
 use std::collections::BTreeMap;
@@ -46,101 +48,107 @@
 use crate::request::notice::rate_limiter::RateLimiter;
 use crate::settings::Settings;
 
-use self::adapter_cache::{Beside, Remembering};
+use self::adapter::{AdapterId, AdapterTable};
+use self::adapter_cache::{LocalCopies, RecentEngines};
 use self::engine::{Engine, Leaving};
-use self::job::{Job, JobId, Jobs};
-use self::key::{Key, Keys};
-use self::load::BaseRate;
-use self::run_interval::Pace;
+use self::load::BaseLoadBucket;
+use self::run_interval::RunInterval;
+use self::scheduled_request::{RequestTable, ScheduledRequest, VmRequestId};
 
-/// How often VMs are told that the scheduler is there: three fit into the silence after which they go on alone.
-const ALIVE_EVERY: Span = Span::from_millis(250);
+/// Interval of the heartbeats to all VMs. Three heartbeats fit into [`client::HOLDER_TIMEOUT`], after which a
+/// VM places requests without the scheduler.
+const HEARTBEAT_INTERVAL: Span = Span::from_millis(250);
 
-/// How often VMs are told what is resident, for the time without a scheduler, where they are few.
-const RESIDENTS_EVERY: Span = Span::from_millis(1_000);
+/// Shortest interval between two messages about resident adapters to the VMs. The VMs use their content while
+/// they have no scheduler.
+const MIN_RESIDENTS_INTERVAL: Span = Span::from_millis(1_000);
 
-/// The time that each VM adds to that where they are many: what all are told together, at most [`RESIDENTS_ROWS`] engines of
-/// some 120 bytes each, stays below 200 KB a second whatever their number, a sixth of the smallest link.
-const RESIDENTS_EACH: Span = Span::from_millis(40);
+/// Interval per VM between two messages about resident adapters, where that is longer than
+/// [`MIN_RESIDENTS_INTERVAL`]. A message has at most [`MAX_RESIDENTS_ROWS`] engines of about 120 bytes each, so
+/// this keeps the messages to all VMs together below 200 KB per second for any number of VMs: a sixth of the
+/// slowest network link.
+const RESIDENTS_INTERVAL_PER_VM: Span = Span::from_millis(40);
 
-/// Engines in one digest of what is resident; where there are more, each digest goes on after the last one. VMs know what
-/// they were sent to themselves as well, so a digest that comes round slowly costs little.
-const RESIDENTS_ROWS: usize = 64;
+/// Most engines in one message about resident adapters. With more engines, each message continues after the
+/// last engine of the one before. A slow rotation costs little, since a VM also records the placements of its
+/// own requests.
+const MAX_RESIDENTS_ROWS: usize = 64;
 
-/// The time between two lines on its state in the log.
-const SUMMARY_EVERY: Span = Span::from_millis(1_000);
+/// Interval between two log lines with the scheduler's state.
+const SUMMARY_INTERVAL: Span = Span::from_millis(1_000);
 
-/// Something that the scheduler decided.
+/// A decision of the scheduler, for the VM that it runs on to carry out.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// A request of a VM goes to a server, which must hold the adapter's version.
+    /// Places a request of a VM at a server, which must hold this version of the adapter (any version if
+    /// `None`).
     Place(Vm, RequestId, Server, Option<Version>),
-    /// A request of a VM can't be served in time and may come back after the span.
+    /// Refuses a request of a VM, because it cannot be served in time. The caller may retry after the span.
     Refuse(Vm, RequestId, Span),
-    /// An order to a server.
+    /// Sends an order to the server at this address.
     Order(OrderId, Server, SocketAddr, Order),
-    /// A server is asked for its report.
+    /// Asks the server at this address for its report.
     QueryReport(Server, SocketAddr),
-    /// What some engines hold, for all VMs.
+    /// Sends the resident adapters of some engines to all VMs.
     Residents(Vec<EngineResidents>),
-    /// The scheduler is there, for all VMs.
+    /// Sends a heartbeat to all VMs.
     Heartbeat,
-    /// A log event.
+    /// Writes a log event.
     Log(Record),
 }
 
-/// The scheduler of one service.
+/// The scheduler of one service: its engines, its requests and when it next runs.
 #[derive(Debug)]
 pub struct Scheduler {
-    /// What its engines hold.
-    pub(crate) shape: EngineSpec,
-    /// When it began.
+    /// What each engine of the service can hold and run.
+    pub(crate) engine_spec: EngineSpec,
+    /// When this VM became the service's scheduler.
     started_at: Instant,
-    /// The fencing number of its orders.
+    /// Fencing token that its orders carry.
     fence: u64,
-    /// What this VM was told.
     pub(crate) settings: Settings,
-    /// The engines.
+    /// The service's engines that the key-value service lists.
     pub(crate) engines: BTreeMap<Server, Engine>,
-    /// The requests that wait or run.
-    pub(crate) jobs: Jobs,
-    /// The adapters.
-    pub(crate) keys: Keys,
-    /// The time a load of an adapter takes, as measured.
+    /// Requests that wait for a placement or run at an engine.
+    pub(crate) requests: RequestTable,
+    /// Adapters of the service, with their demand and versions.
+    pub(crate) adapters: AdapterTable,
+    /// Estimated time to load an adapter from the weight store.
     pub(crate) load_time: Span,
-    /// How many adapters lie beside each engine.
-    pub(crate) beside: Beside,
-    /// The engines that remember each adapter.
-    pub(crate) remembering: Remembering,
-    /// The rate of loads of base models.
-    pub(crate) base_rate: BaseRate,
-    /// The last order's number.
+    /// Estimated number of adapters of which an engine keeps local copies.
+    pub(crate) local_copies: LocalCopies,
+    /// Index from each adapter to the engines that recently held it.
+    pub(crate) recent_engines: RecentEngines,
+    /// Limits the rate of base model loads from the weight store.
+    pub(crate) base_load_bucket: BaseLoadBucket,
+    /// Number of the last order that was sent.
     pub(crate) last_order: OrderId,
-    /// Log events of what came back since the last run.
-    pub(crate) notes: Vec<Record>,
-    /// Whether something changed since the last run.
-    dirty: bool,
-    /// How often it runs.
-    pace: Pace,
-    /// When the next run is due without a change.
+    /// Log events recorded since the last run, written by the next run.
+    pub(crate) pending_logs: Vec<Record>,
+    /// Whether anything changed since the last run.
+    changed: bool,
+    /// Sets the shortest time between two runs.
+    run_interval: RunInterval,
+    /// When the next run is due if nothing changes before.
     pub(crate) due: Instant,
-    /// When VMs are next told that the scheduler is there.
-    alive_due: Instant,
-    /// When VMs are next told what is resident.
+    /// When the next heartbeat is due.
+    heartbeat_due: Instant,
+    /// When the next message about resident adapters is due.
     residents_due: Instant,
-    /// The last engine that they were told of.
-    told: Option<Server>,
-    /// When the next line on its state is due.
+    /// Last engine of the previous message about resident adapters; `None` if the next message starts from the
+    /// first engine.
+    last_residents_server: Option<Server>,
+    /// When the next log line with the state is due.
     summary_due: Instant,
-    /// The VMs that are told.
-    vms: usize,
+    /// Number of VMs that receive the heartbeats and the messages about resident adapters.
+    vm_count: usize,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no engine yet.
+    /// Creates a scheduler without engines for the service that `application` describes.
     #[must_use]
     pub fn new(now: Instant, application: &ServiceConfig, fence: u64, settings: Settings) -> Self {
-        let shape = application.engine.clone().unwrap_or_else(|| EngineSpec {
+        let engine_spec = application.engine.clone().unwrap_or_else(|| EngineSpec {
             batch: 1,
             tokens: 0,
             memory_mb: 0.0,
@@ -149,106 +157,112 @@
             models: Vec::new(),
         });
         Self {
-            base_rate: BaseRate::new(now, shape.loads_per_s),
+            base_load_bucket: BaseLoadBucket::new(now, engine_spec.loads_per_s),
             load_time: settings.tuning.adapter_load,
-            beside: Beside::default(),
-            remembering: Remembering::default(),
-            shape,
+            local_copies: LocalCopies::default(),
+            recent_engines: RecentEngines::default(),
+            engine_spec,
             started_at: now,
             fence,
             engines: BTreeMap::new(),
-            jobs: Jobs::default(),
-            keys: Keys::default(),
-            // Numbers of orders are never used twice: a later scheduler has a higher fencing number.
+            requests: RequestTable::default(),
+            adapters: AdapterTable::default(),
+            // An order's number is never used twice, since each later scheduler of the service has a higher
+            // fencing token.
             last_order: fence << 24,
-            notes: Vec::new(),
-            dirty: true,
-            pace: Pace::default(),
+            pending_logs: Vec::new(),
+            changed: true,
+            run_interval: RunInterval::default(),
             due: now,
-            alive_due: now,
+            heartbeat_due: now,
             residents_due: now,
-            told: None,
+            last_residents_server: None,
             summary_due: now,
-            vms: 0,
+            vm_count: 0,
             settings,
         }
     }
 
-    /// The fencing number of its orders.
+    /// Returns the fencing token that its orders carry.
     #[must_use]
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// When it is to be run next: soon after a change, else when time alone moves something.
+    /// Returns when [`Self::run`] is next to be called: soon after a change, otherwise when the next timeout or
+    /// periodic message is due.
     #[must_use]
     pub fn next_run(&self) -> Instant {
-        let due = if self.dirty {
-            self.due.min(self.pace.soon())
+        let due = if self.changed {
+            self.due.min(self.run_interval.start_after_change())
         } else {
             self.due
         };
-        due.max(self.pace.soonest())
+        due.max(self.run_interval.earliest_start())
     }
 
-    /// The last run took so long, with what was done for it.
+    /// Records how long the last run took, including the work to carry out its decisions.
     pub fn record_run_duration(&mut self, span: Span) {
-        self.pace.took(span);
+        self.run_interval.record_duration(span);
     }
 
-    /// When it began.
+    /// Returns when this VM became the service's scheduler.
     #[must_use]
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Whether its VM is too weak for it.
+    /// Returns whether its runs take so long that its VM is too weak to be the scheduler.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
-        self.pace.is_overloaded()
+        self.run_interval.is_overloaded()
     }
 
-    /// An engine is listed, or describes itself anew.
+    /// Adds an engine or updates its entry. Resets the engine if the entry names another incarnation of it.
     pub fn update_server(&mut self, server: &Server, backend: &Arc<Backend>) {
-        self.dirty = true;
+        self.changed = true;
         match self
             .engines
             .get_mut(server)
-            .map(|engine| engine.described(backend))
+            .map(|engine| engine.update_backend(backend))
         {
-            Some(true) => self.restarted(server, backend.start),
+            Some(true) => self.reset_engine(server, backend.start),
             Some(false) => {}
             None => {
                 let mut engine = Engine::new(backend.clone());
-                engine.running = u32::try_from(self.jobs.at(server).len()).unwrap_or(u32::MAX);
+                engine.running =
+                    u32::try_from(self.requests.at_server(server).len()).unwrap_or(u32::MAX);
                 self.engines.insert(server.clone(), engine);
             }
         }
     }
 
-    /// An engine has started again: it holds nothing, and what was given to it before runs no longer. Its callers' VMs find
-    /// that out by themselves.
-    pub(crate) fn restarted(&mut self, server: &Server, start: Option<Incarnation>) {
-        for id in self.jobs.at(server) {
-            self.job_over(&id);
+    /// Resets an engine that has restarted: it holds nothing, and the requests placed there before are removed.
+    /// The VMs of these requests detect the failures themselves.
+    pub(crate) fn reset_engine(&mut self, server: &Server, incarnation: Option<Incarnation>) {
+        for id in self.requests.at_server(server) {
+            self.remove_request(&id);
         }
         if let Some(engine) = self.engines.get_mut(server) {
-            engine.restarted(start);
-            self.remembering.forget(server, &mut engine.recent);
+            engine.reset(incarnation);
+            self.recent_engines
+                .remove_engine(server, &mut engine.recent_adapters);
         }
     }
 
-    /// An engine is gone.
-    pub fn server_gone(&mut self, server: &Server) {
-        self.dirty = true;
+    /// Removes an engine whose entry is gone.
+    pub fn remove_server(&mut self, server: &Server) {
+        self.changed = true;
         if let Some(mut engine) = self.engines.remove(server) {
-            self.remembering.forget(server, &mut engine.recent);
+            self.recent_engines
+                .remove_engine(server, &mut engine.recent_adapters);
         }
     }
 
-    /// An engine names a limit to the requests a second that it takes from all VMs together, or none any more.
+    /// Sets the number of requests per second that an engine accepts from all VMs together; `None` if it has no
+    /// limit.
     pub(crate) fn set_rate_limit(&mut self, now: Instant, server: &Server, limit: Option<Rate>) {
-        self.dirty = true;
+        self.changed = true;
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
@@ -259,42 +273,45 @@
         }
     }
 
-    /// An engine says that it is leaving, as was first heard at a time.
+    /// Records that an engine announced at `at` that it shuts down.
     pub(crate) fn set_leaving(&mut self, server: &Server, at: Instant) {
-        self.dirty = true;
+        self.changed = true;
         match self.engines.get_mut(server) {
-            Some(engine) if engine.leaving == Leaving::No => engine.leaving = Leaving::Since(at),
+            Some(engine) if engine.leaving == Leaving::No => engine.leaving = Leaving::Draining(at),
             Some(_) | None => {}
         }
     }
 
-    /// An engine has turned a request of a VM away and asked for rest.
+    /// Starts a cooldown of `span` for a VM, a request of which an engine rejected.
     pub(crate) fn start_cooldown(&mut self, now: Instant, vm: &Vm, server: &Server, span: Span) {
-        self.dirty = true;
+        self.changed = true;
         if let Some(engine) = self.engines.get_mut(server) {
-            engine.cooldown.ask(now, vm, span);
+            engine.cooldown.start(now, vm, span);
         }
     }
 
-    /// Closes the engines that leave. Where no other one is there they are used for a while.
-    fn close_leaving(&mut self, now: Instant) {
-        let last = last_resort_period(self.settings.tuning.drain);
-        let stays =
-            |engine: &Engine| engine.known && engine.backend.ready && engine.leaving == Leaving::No;
-        let any = self.engines.values().any(stays);
+    /// Stops using the engines that shut down. If no other engine is available, they stay in use for the period
+    /// that [`last_resort_period`] returns.
+    fn update_leaving(&mut self, now: Instant) {
+        let period = last_resort_period(self.settings.tuning.drain);
+        let is_staying = |engine: &Engine| {
+            engine.state_known && engine.backend.ready && engine.leaving == Leaving::No
+        };
+        let any_staying = self.engines.values().any(is_staying);
         for engine in self.engines.values_mut() {
             engine.leaving = match engine.leaving {
-                Leaving::Since(at) | Leaving::Closed(at) if any || now.since(at) >= last => {
-                    Leaving::Closed(at)
+                Leaving::Draining(at) | Leaving::Excluded(at)
+                    if any_staying || now.since(at) >= period =>
+                {
+                    Leaving::Excluded(at)
                 }
-                Leaving::Since(at) | Leaving::Closed(at) => Leaving::Since(at),
+                Leaving::Draining(at) | Leaving::Excluded(at) => Leaving::Draining(at),
                 Leaving::No => Leaving::No,
             };
         }
     }
 
-    /// A newer version of an adapter is named.
-    /// Where it may have been named long ago, `at` is none.
+    /// Records that a newer version of an adapter was published. `at` is `None` if that may have been long ago.
     pub fn update_adapter_version(
         &mut self,
         model: &Arc<str>,
@@ -302,30 +319,30 @@
         version: Version,
         at: Option<Instant>,
     ) {
-        self.dirty = true;
-        let key = self.keys.key(model, adapter);
+        self.changed = true;
+        let id = self.adapters.intern(model, adapter);
         let at = at.filter(|_| self.settings.uses(Feature::OldVersions));
-        self.keys.named(key, version, at);
+        self.adapters.record_version(id, version, at);
     }
 
-    /// A VM wants a place for a request.
-    pub fn enqueue(&mut self, now: Instant, vm: &Vm, want: PlacementRequest) {
-        self.dirty = true;
-        let id = JobId {
+    /// Adds a request of a VM that waits for a placement.
+    pub fn enqueue(&mut self, now: Instant, vm: &Vm, placement: PlacementRequest) {
+        self.changed = true;
+        let id = VmRequestId {
             vm: vm.clone(),
-            request: want.request,
+            request: placement.request,
         };
-        let key = self.key_of(&want.work);
-        let job = Job::waiting(now, want, key);
-        let new = job.failed.is_empty() && self.jobs.get(&id).is_none();
-        if let Some(key) = key.filter(|_| new) {
-            self.keys.asked(key, now);
+        let adapter = self.intern_adapter(&placement.work);
+        let request = ScheduledRequest::waiting(now, placement, adapter);
+        let is_new = request.failed.is_empty() && self.requests.get(&id).is_none();
+        if let Some(adapter) = adapter.filter(|_| is_new) {
+            self.adapters.record_request(adapter, now);
         }
         self.release(&id);
-        self.jobs.insert(id, job);
+        self.requests.insert(id, request);
     }
 
-    /// A VM says how a request goes.
+    /// Updates a placed request with what its VM reports of its progress.
     pub fn update_progress(
         &mut self,
         now: Instant,
@@ -333,188 +350,193 @@
         request: RequestId,
         progress: Progress,
     ) {
-        self.dirty = true;
-        let id = JobId {
+        self.changed = true;
+        let id = VmRequestId {
             vm: vm.clone(),
             request,
         };
         match progress {
-            Progress::AnswerStarted => self.job_begun(now, &id),
-            Progress::Finished => self.job_over(&id),
-            Progress::Failed(ran, cause) => self.job_failed(now, &id, ran, cause),
+            Progress::AnswerStarted => self.record_answer_started(now, &id),
+            Progress::Finished => self.remove_request(&id),
+            Progress::Failed(ran, cause) => self.record_attempt_failed(now, &id, ran, cause),
         }
     }
 
-    /// A VM says all that runs and waits there, in place of all it said before.
+    /// Replaces all requests of a VM by those that the VM reports as running and waiting.
     pub fn resync_vm(
         &mut self,
         now: Instant,
         vm: &Vm,
         running: &[Running],
-        wants: Vec<PlacementRequest>,
+        waiting: Vec<PlacementRequest>,
     ) {
-        self.vm_gone(vm);
+        self.remove_vm(vm);
         for run in running {
-            let id = JobId {
+            let id = VmRequestId {
                 vm: vm.clone(),
                 request: run.request,
             };
-            let key = self.key_of(&run.work);
-            let job = Job::running(now, run, key);
-            self.occupy(&job, &run.server);
-            self.jobs.insert(id, job);
+            let adapter = self.intern_adapter(&run.work);
+            let request = ScheduledRequest::running(now, run, adapter);
+            self.occupy(&request, &run.server);
+            self.requests.insert(id, request);
         }
-        for want in wants {
-            self.enqueue(now, vm, want);
+        for placement in waiting {
+            self.enqueue(now, vm, placement);
         }
     }
 
-    /// A VM is gone, and its requests with it.
-    pub fn vm_gone(&mut self, vm: &Vm) {
-        self.dirty = true;
-        for id in self.jobs.of(vm) {
-            self.job_over(&id);
+    /// Removes a VM that is gone, with all of its requests.
+    pub fn remove_vm(&mut self, vm: &Vm) {
+        self.changed = true;
+        for id in self.requests.of_vm(vm) {
+            self.remove_request(&id);
         }
     }
 
-    /// An order came back. Says whether a server has seen a higher fencing number.
+    /// Applies the outcome of an order. Returns whether a server has seen a higher fencing token.
     pub fn handle_order_outcome(
         &mut self,
         now: Instant,
         order: OrderId,
         outcome: OrderOutcome,
     ) -> bool {
-        self.dirty = true;
-        self.order_answered(now, order, outcome)
+        self.changed = true;
+        self.apply_order_outcome(now, order, outcome)
     }
 
-    /// How many VMs are told what is resident.
-    pub fn set_vm_count(&mut self, vms: usize) {
-        self.vms = vms;
+    /// Sets the number of VMs that receive the heartbeats and the messages about resident adapters.
+    pub fn set_vm_count(&mut self, vm_count: usize) {
+        self.vm_count = vm_count;
     }
 
-    /// Whether an order is one of this scheduler's.
+    /// Returns whether this scheduler sent the order.
     #[must_use]
     pub fn owns(&self, order: OrderId) -> bool {
         order >> 24 == self.fence
     }
 
-    /// An engine's report came, or it gave none.
+    /// Applies an engine's report; `None` if the engine did not answer.
     pub fn handle_report(&mut self, now: Instant, server: &Server, report: Option<&Report>) {
-        self.dirty = true;
-        self.take_report(now, server, report);
+        self.changed = true;
+        self.apply_report(now, server, report);
     }
 
-    /// Decides what can be decided now.
+    /// Runs the scheduler if a run is due, and appends its decisions to `out`.
     pub fn run(&mut self, now: Instant, out: &mut Vec<Decision>) {
         if now < self.next_run() {
             return;
         }
-        self.dirty = false;
-        self.pace.begin(now);
-        self.due = now + ALIVE_EVERY;
-        out.extend(self.notes.drain(..).map(Decision::Log));
-        self.settle(now, out);
-        self.judge(now);
-        self.close_leaving(now);
-        let spread = self.spread(now);
-        self.place_jobs(now, &spread, out);
-        let waits = self.forecast(now, &spread);
-        self.plan_loads(now, &waits, spread, out);
-        self.refuse_jobs(now, &waits, out);
+        self.changed = false;
+        self.run_interval.record_start(now);
+        self.due = now + HEARTBEAT_INTERVAL;
+        out.extend(self.pending_logs.drain(..).map(Decision::Log));
+        self.apply_elapsed_time(now, out);
+        self.update_deprioritized(now);
+        self.update_leaving(now);
+        let residency = self.residency(now);
+        self.place_requests(now, &residency, out);
+        let forecasts = self.forecast(now, &residency);
+        self.plan_loads(now, &forecasts, residency, out);
+        self.refuse_unservable(now, &forecasts, out);
         self.send_orders(now, out);
-        self.tell(now, out);
+        self.send_periodic(now, out);
     }
 
-    /// The adapter that work names, if any.
-    fn key_of(&mut self, work: &InferenceSpec) -> Option<Key> {
+    /// Returns the id of the adapter that the request names; `None` if it names none.
+    fn intern_adapter(&mut self, work: &InferenceSpec) -> Option<AdapterId> {
         let adapter = work.adapter.as_ref()?;
-        Some(self.keys.key(&work.model, adapter))
+        Some(self.adapters.intern(&work.model, adapter))
     }
 
-    /// Has the engines that fail most come last for now.
-    fn judge(&mut self, now: Instant) {
+    /// Updates which engines are deprioritized because they fail the most requests.
+    fn update_deprioritized(&mut self, now: Instant) {
         let health: Vec<&Health> = self.engines.values().map(|engine| &engine.health).collect();
-        let used = self.settings.uses(Feature::HealthRanking);
-        let last = if used {
+        let enabled = self.settings.uses(Feature::HealthRanking);
+        let deprioritized = if enabled {
             deprioritized(now, &health)
         } else {
             Vec::new()
         };
-        for (at, engine) in self.engines.values_mut().enumerate() {
-            engine.last = last.contains(&at);
+        for (index, engine) in self.engines.values_mut().enumerate() {
+            engine.deprioritized = deprioritized.contains(&index);
         }
     }
 
-    /// Has the next run come no later than at a time.
-    pub(crate) fn by(&mut self, at: Instant) {
+    /// Makes the next run due at `at` at the latest.
+    pub(crate) fn run_by(&mut self, at: Instant) {
         self.due = self.due.min(at);
     }
 
-    /// Everything that does not hold together.
+    /// Returns a description of each invariant that does not hold.
     #[must_use]
     pub fn verify(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         for (server, engine) in &self.engines {
-            let held = engine.held();
-            if held > self.shape.places && self.shape.places > 0 && engine.known {
-                faults.push(format!(
+            let held = engine.occupied_slots();
+            if held > self.engine_spec.places && self.engine_spec.places > 0 && engine.state_known {
+                violations.push(format!(
                     "{server} holds {held} adapters of {}",
-                    self.shape.places
+                    self.engine_spec.places
                 ));
             }
-            let running = self.jobs.at(server).len();
+            let running = self.requests.at_server(server).len();
             if running != engine.running as usize {
                 let counted = engine.running;
-                faults.push(format!("{server}: {counted} counted, {running} run"));
+                violations.push(format!("{server}: {counted} counted, {running} run"));
             }
-            for (key, place) in &engine.places {
-                let used = self.jobs.using(server, *key);
-                if used != place.used {
-                    faults.push(format!(
-                        "{server} {}: {} counted, {used} run",
-                        self.keys.name(*key).adapter,
-                        place.used
+            for (adapter, slot) in &engine.slots {
+                let running = self.requests.count_using(server, *adapter);
+                if running != slot.running {
+                    violations.push(format!(
+                        "{server} {}: {} counted, {running} run",
+                        self.adapters.name(*adapter).adapter,
+                        slot.running
                     ));
                 }
             }
         }
-        faults
+        violations
     }
 
-    fn tell(&mut self, now: Instant, out: &mut Vec<Decision>) {
-        if now >= self.alive_due {
-            self.alive_due = now + ALIVE_EVERY;
+    /// Appends the heartbeat, the message about resident adapters and the log line with the state, as far as they
+    /// are due.
+    fn send_periodic(&mut self, now: Instant, out: &mut Vec<Decision>) {
+        if now >= self.heartbeat_due {
+            self.heartbeat_due = now + HEARTBEAT_INTERVAL;
             out.push(Decision::Heartbeat);
         }
         if now >= self.residents_due {
-            let all = RESIDENTS_EACH.times(self.vms as u64);
-            self.residents_due = now + all.max(RESIDENTS_EVERY);
+            let interval = RESIDENTS_INTERVAL_PER_VM.times(self.vm_count as u64);
+            self.residents_due = now + interval.max(MIN_RESIDENTS_INTERVAL);
             let rows = self.next_residents();
             out.push(Decision::Residents(rows));
         }
         if now >= self.summary_due {
-            self.summary_due = now + SUMMARY_EVERY;
+            self.summary_due = now + SUMMARY_INTERVAL;
             out.push(Decision::Log(self.summary(now)));
         }
-        let next = self.alive_due.min(self.residents_due).min(self.summary_due);
-        self.by(next);
+        let next = self
+            .heartbeat_due
+            .min(self.residents_due)
+            .min(self.summary_due);
+        self.run_by(next);
     }
 
-    /// What the engines hold whose turn it is to be told of.
+    /// Returns the resident adapters of the engines that the next message is to contain.
     fn next_residents(&mut self) -> Vec<EngineResidents> {
-        let after = match self.told.take() {
+        let after = match self.last_residents_server.take() {
             Some(server) => (Bound::Excluded(server), Bound::Unbounded),
             None => (Bound::Unbounded, Bound::Unbounded),
         };
-        let turn = self.engines.range(after).take(RESIDENTS_ROWS);
+        let listed = self.engines.range(after).take(MAX_RESIDENTS_ROWS);
         let holding = |(server, engine): (&Server, &Engine)| EngineResidents {
             server: server.clone(),
-            adapters: engine.residents(&self.keys),
+            adapters: engine.resident_adapters(&self.adapters),
         };
-        let rows: Vec<EngineResidents> = turn.map(holding).collect();
-        if rows.len() == RESIDENTS_ROWS {
-            self.told = rows.last().map(|row| row.server.clone());
+        let rows: Vec<EngineResidents> = listed.map(holding).collect();
+        if rows.len() == MAX_RESIDENTS_ROWS {
+            self.last_residents_server = rows.last().map(|row| row.server.clone());
         }
         rows
     }
--- a/crates/gateway/src/scheduler/adapter_cache.rs
+++ b/crates/gateway/src/scheduler/adapter_cache.rs
@@ -1,116 +1,131 @@
-//! Adapters that an engine held recently: copies of them lie beside the engine, so that they load about ten times as fast
-//! as from the weight store and take nothing from it.
+//! Tracks the adapters that each engine held recently. An engine keeps local copies of adapters that it
+//! unloaded; loading one of them again is about ten times as fast as a load from the weight store, and takes
+//! nothing of the weight store's bandwidth.
 //!
-//! Sending them back there buys loads from the weight store.
+//! Loading an adapter at an engine with a local copy therefore saves loads from the weight store.
 
 use dahliastile_core::id::Server;
 use rustc_hash::FxHashMap;
 
-use super::key::Key;
+use super::adapter::AdapterId;
 
-/// Adapters that are remembered of one engine at most.
-const REMEMBERED: usize = 128;
+/// Most adapters tracked for one engine.
+const MAX_RECENT: usize = 128;
 
-/// The adapters that one engine held, by when each was last loaded or used there.
+/// The adapters that one engine held, in the order of their last load or use there.
 #[derive(Debug, Default)]
-pub(crate) struct Recent {
-    /// The turn of each, higher is later.
-    turns: FxHashMap<Key, u64>,
-    /// The last turn.
-    last: u64,
+pub(crate) struct RecentAdapters {
+    /// Value of `use_count` at the last load or use of each adapter.
+    last_uses: FxHashMap<AdapterId, u64>,
+    /// Number of loads and uses.
+    use_count: u64,
 }
 
-impl Recent {
-    /// An adapter is loaded or used. Gives the one that is no longer remembered for it, if there is one.
-    fn touch(&mut self, key: Key) -> Option<Key> {
-        self.last += 1;
-        self.turns.insert(key, self.last);
-        if self.turns.len() <= REMEMBERED {
+impl RecentAdapters {
+    /// Records that an adapter was loaded or used. Returns the adapter that is dropped for it because more than
+    /// [`MAX_RECENT`] would be tracked.
+    fn record_use(&mut self, adapter: AdapterId) -> Option<AdapterId> {
+        self.use_count += 1;
+        self.last_uses.insert(adapter, self.use_count);
+        if self.last_uses.len() <= MAX_RECENT {
             return None;
         }
-        let oldest = self.turns.iter().min_by_key(|(_, turn)| **turn);
-        let oldest = oldest.map(|(key, _)| *key)?;
-        self.turns.remove(&oldest);
+        let oldest = self.last_uses.iter().min_by_key(|(_, last_use)| **last_use);
+        let oldest = oldest.map(|(adapter, _)| *adapter)?;
+        self.last_uses.remove(&oldest);
         Some(oldest)
     }
 
-    /// How many other adapters were held since an adapter was; none where it is not remembered.
-    pub(crate) fn depth(&self, key: Key) -> Option<usize> {
-        let turn = self.turns.get(&key)?;
-        Some(self.turns.values().filter(|other| *other > turn).count())
+    /// Returns the number of other adapters loaded or used since this one last was; `None` if this one is not
+    /// tracked.
+    pub(crate) fn reuse_distance(&self, adapter: AdapterId) -> Option<usize> {
+        let last_use = self.last_uses.get(&adapter)?;
+        Some(
+            self.last_uses
+                .values()
+                .filter(|other| *other > last_use)
+                .count(),
+        )
     }
 }
 
-/// The engines that remember each adapter, so that a look for them does not go over all engines.
+/// Index from each adapter to the engines whose [`RecentAdapters`] contain it, so that a lookup does not visit
+/// all engines.
 #[derive(Debug, Default)]
-pub(crate) struct Remembering(FxHashMap<Key, Vec<Server>>);
-
-impl Remembering {
-    /// An adapter is loaded or used at an engine.
-    pub(crate) fn touch(&mut self, server: &Server, recent: &mut Recent, key: Key) {
-        let servers = self.0.entry(key).or_default();
+pub(crate) struct RecentEngines(FxHashMap<AdapterId, Vec<Server>>);
+
+impl RecentEngines {
+    /// Records that an adapter was loaded or used at an engine.
+    pub(crate) fn record_use(
+        &mut self,
+        server: &Server,
+        recent_adapters: &mut RecentAdapters,
+        adapter: AdapterId,
+    ) {
+        let servers = self.0.entry(adapter).or_default();
         if let Err(at) = servers.binary_search(server) {
             servers.insert(at, server.clone());
         }
-        if let Some(oldest) = recent.touch(key) {
+        if let Some(oldest) = recent_adapters.record_use(adapter) {
             self.remove(server, oldest);
         }
     }
 
-    /// An engine remembers nothing any more.
-    pub(crate) fn forget(&mut self, server: &Server, recent: &mut Recent) {
-        for key in std::mem::take(recent).turns.into_keys() {
-            self.remove(server, key);
+    /// Removes an engine from the index and empties its [`RecentAdapters`].
+    pub(crate) fn remove_engine(&mut self, server: &Server, recent_adapters: &mut RecentAdapters) {
+        for adapter in std::mem::take(recent_adapters).last_uses.into_keys() {
+            self.remove(server, adapter);
         }
     }
 
-    /// The engines that remember an adapter, in their order.
-    pub(crate) fn servers(&self, key: Key) -> &[Server] {
-        self.0.get(&key).map_or(&[], Vec::as_slice)
+    /// Returns the engines that recently held an adapter, in ascending order.
+    pub(crate) fn servers(&self, adapter: AdapterId) -> &[Server] {
+        self.0.get(&adapter).map_or(&[], Vec::as_slice)
     }
 
-    fn remove(&mut self, server: &Server, key: Key) {
-        let Some(servers) = self.0.get_mut(&key) else {
+    fn remove(&mut self, server: &Server, adapter: AdapterId) {
+        let Some(servers) = self.0.get_mut(&adapter) else {
             return;
         };
         servers.retain(|other| other != server);
         if servers.is_empty() {
-            self.0.remove(&key);
+            self.0.remove(&adapter);
         }
     }
 }
 
-/// How many adapters lie beside each engine of a service, as learnt from how fast they came back.
+/// Estimated number of adapters of which each engine of a service keeps local copies, learnt from how long
+/// their loads took.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Beside {
-    /// The number believed.
+pub(crate) struct LocalCopies {
     count: usize,
 }
 
-impl Beside {
-    /// The number believed first. Too high costs a rejected arrival for each adapter that did not come back fast, until it is
-    /// lower; too low would never be found out.
-    const FIRST: Self = Self { count: 64 };
+impl LocalCopies {
+    /// The first estimate. An estimate that is too high costs a rejected request for each adapter that did not
+    /// load fast, until the estimate has come down. One that is too low would never be corrected.
+    const INITIAL: Self = Self { count: 64 };
 
-    /// Whether an adapter that was held so many others ago comes back fast.
-    pub(crate) fn holds(self, depth: usize) -> bool {
-        depth < self.count
+    /// Returns whether an engine likely has a local copy of an adapter with this reuse distance.
+    pub(crate) fn likely_holds(self, distance: usize) -> bool {
+        distance < self.count
     }
 
-    /// An adapter came back fast.
-    pub(crate) fn fast(&mut self, depth: usize) {
-        let near = depth + depth / 4 >= self.count;
-        self.count = (self.count + usize::from(near)).min(REMEMBERED);
+    /// Raises the estimate after a load that was as fast as one from a local copy.
+    pub(crate) fn record_fast_load(&mut self, distance: usize) {
+        let near = distance + distance / 4 >= self.count;
+        self.count = (self.count + usize::from(near)).min(MAX_RECENT);
     }
 
-    /// An adapter did not. One such return may have other reasons, so the number goes half of the way.
-    pub(crate) fn slow(&mut self, depth: usize) {
-        self.count -= (self.count.saturating_sub(depth)).div_ceil(2);
+    /// Lowers the estimate after a load that was slower. The load may have been slow for another reason, so the
+    /// estimate moves only half of the way.
+    pub(crate) fn record_slow_load(&mut self, distance: usize) {
+        self.count -= (self.count.saturating_sub(distance)).div_ceil(2);
     }
 }
 
-impl Default for Beside {
+impl Default for LocalCopies {
     fn default() -> Self {
-        Self::FIRST
+        Self::INITIAL
     }
 }
--- a/crates/gateway/src/scheduler/capacity.rs
+++ b/crates/gateway/src/scheduler/capacity.rs
@@ -1,9 +1,10 @@
-//! Where there is room for one more adapter of a base model, and what that costs: looked at once a run for each engine, and
-//! again only for engines that a load has changed.
+//! Finds the engines that could load one more adapter of a base model, with the cost of each. Each run computes
+//! this once per engine, and again only for the engines that a planned load has changed.
 //!
-//! Before that each adapter that was waited for looked at all engines, their adapters and what is claimed of them, each run: with
-//! 100 engines and a thousand requests a second of which a third can be served, a run took 4.8 ms and a request 1.8 ms of
-//! processor time (`crates/gateway/benches/scheduler.rs`), so that a VM of half a core fell behind what it was told.
+//! Computing it for every awaited adapter over all engines, their adapters and their reservations took 4.8 ms
+//! per run and 1.8 ms of processor time per request (`crates/gateway/benches/scheduler.rs`, 100 engines, 1,000
+//! requests per second of which a third can be served), and a VM with half a core fell behind its incoming
+//! messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,198 +14,211 @@
 use rustc_hash::FxHashMap;
 
 use super::Scheduler;
+use super::adapter::AdapterId;
 use super::engine::Engine;
-use super::forecast::reading;
-use super::key::Key;
-use super::reservations::Claims;
-use super::residency::Spread;
+use super::forecast::prefill_time;
+use super::reservations::Reservations;
+use super::residency::Residency;
 
-/// What an engine gets for a load: two orders and the request that waits for the adapter.
-pub(crate) const FOR_A_LOAD: u32 = 3;
+/// Requests that a load costs of an engine's rate limit: the two orders to unload and to load, and the request
+/// that waits for the adapter.
+pub(crate) const CALLS_PER_LOAD: u32 = 3;
 
-/// Room at an engine.
+/// An engine that could load an adapter.
 #[derive(Clone, Debug)]
-pub(crate) struct Room {
-    /// The adapter that makes room; none where a place is free.
-    pub(crate) victim: Option<Key>,
-    /// The time until its prompts are read, those claimed of it included, and the loss of that adapter.
+pub(crate) struct LoadCandidate {
+    /// The adapter to evict; `None` if a slot is free.
+    pub(crate) victim: Option<AdapterId>,
+    /// Time until the engine has finished the prefill of its prompts and of those reserved there, plus the cost
+    /// of the eviction.
     pub(crate) cost: Span,
 }
 
-/// The engines that have room for an adapter of one base model.
+/// The engines that could load an adapter of one base model.
 #[derive(Debug, Default)]
-pub(crate) struct Rooms {
-    /// By engine.
-    by_server: BTreeMap<Server, Room>,
-    /// By cost.
+pub(crate) struct LoadCandidates {
+    by_server: BTreeMap<Server, LoadCandidate>,
+    /// The same engines, cheapest first.
     by_cost: BTreeSet<(Span, Server)>,
 }
 
-impl Rooms {
-    /// The rooms at some engines. Both orders are built at once: engine by engine a run at 3,000 engines took 2.3 ms instead of 1.2 (one run each).
-    fn new(rows: Vec<(Server, Room)>) -> Self {
+impl LoadCandidates {
+    /// Creates the set from the candidates of all engines. Both maps are built in bulk: inserting one engine at
+    /// a time made a run with 3,000 engines take 2.3 ms instead of 1.2 ms.
+    fn new(rows: Vec<(Server, LoadCandidate)>) -> Self {
         let by_cost = rows
             .iter()
-            .map(|(server, room)| (room.cost, server.clone()));
+            .map(|(server, candidate)| (candidate.cost, server.clone()));
         Self {
             by_cost: by_cost.collect(),
             by_server: rows.into_iter().collect(),
         }
     }
 
-    /// The room at an engine.
-    pub(crate) fn at(&self, server: &Server) -> Option<&Room> {
+    /// Returns the candidate at an engine; `None` if the engine cannot load an adapter.
+    pub(crate) fn at(&self, server: &Server) -> Option<&LoadCandidate> {
         self.by_server.get(server)
     }
 
-    /// The engines with room, at the least cost first.
-    pub(crate) fn cheapest(&self) -> impl Iterator<Item = (&Server, &Room)> {
+    /// Returns the candidates, cheapest first.
+    pub(crate) fn cheapest(&self) -> impl Iterator<Item = (&Server, &LoadCandidate)> {
         let servers = self.by_cost.iter().map(|(_, server)| server);
         servers.filter_map(|server| Some((server, self.by_server.get(server)?)))
     }
 
-    fn set(&mut self, server: &Server, room: Option<Room>) {
+    fn set(&mut self, server: &Server, candidate: Option<LoadCandidate>) {
         if let Some(old) = self.by_server.remove(server) {
             self.by_cost.remove(&(old.cost, server.clone()));
         }
-        if let Some(room) = room {
-            self.by_cost.insert((room.cost, server.clone()));
-            self.by_server.insert(server.clone(), room);
+        if let Some(candidate) = candidate {
+            self.by_cost.insert((candidate.cost, server.clone()));
+            self.by_server.insert(server.clone(), candidate);
         }
     }
 }
 
-/// The rooms for each base model of which an adapter is waited for.
+/// The load candidates of each base model for which requests await an adapter.
 #[derive(Debug, Default)]
-pub(crate) struct Floor {
-    /// By base model.
-    models: FxHashMap<Arc<str>, Rooms>,
+pub(crate) struct CandidatesByModel {
+    models: FxHashMap<Arc<str>, LoadCandidates>,
 }
 
-impl Floor {
-    /// The rooms for an adapter of a base model, once they were looked at.
-    pub(crate) fn of(&self, model: &Arc<str>) -> Option<&Rooms> {
+impl CandidatesByModel {
+    /// Returns the candidates for a base model; `None` unless [`Scheduler::find_candidates`] computed them in
+    /// this run.
+    pub(crate) fn for_model(&self, model: &Arc<str>) -> Option<&LoadCandidates> {
         self.models.get(model)
     }
 }
 
 impl Scheduler {
-    /// Looks at the rooms for adapters of a base model, unless that was done in this run.
-    pub(crate) fn look_for_rooms(
+    /// Computes the candidates for a base model, unless this run already did.
+    pub(crate) fn find_candidates(
         &self,
         now: Instant,
         model: &Arc<str>,
-        claims: &Claims,
-        spread: &Spread,
-        floor: &mut Floor,
+        reservations: &Reservations,
+        residency: &Residency,
+        candidates_by_model: &mut CandidatesByModel,
     ) {
-        if floor.models.contains_key(model) {
+        if candidates_by_model.models.contains_key(model) {
             return;
         }
         let rows = self.engines.iter().filter_map(|(server, engine)| {
-            let room = self.room(now, engine, model, claims, spread)?;
-            Some((server.clone(), room))
+            let candidate = self.candidate(now, engine, model, reservations, residency)?;
+            Some((server.clone(), candidate))
         });
-        floor
+        candidates_by_model
             .models
-            .insert(model.clone(), Rooms::new(rows.collect()));
+            .insert(model.clone(), LoadCandidates::new(rows.collect()));
     }
 
-    /// Looks again at the rooms of some engines.
-    pub(crate) fn look_again(
+    /// Recomputes the candidates at some engines, for each base model computed in this run.
+    pub(crate) fn update_candidates(
         &self,
         now: Instant,
         servers: &[&Server],
-        claims: &Claims,
-        spread: &Spread,
-        floor: &mut Floor,
+        reservations: &Reservations,
+        residency: &Residency,
+        candidates_by_model: &mut CandidatesByModel,
     ) {
-        for (model, rooms) in &mut floor.models {
+        for (model, candidates) in &mut candidates_by_model.models {
             for server in servers {
                 let engine = self.engines.get(*server);
-                let room = engine.and_then(|e| self.room(now, e, model, claims, spread));
-                rooms.set(server, room);
+                let candidate =
+                    engine.and_then(|e| self.candidate(now, e, model, reservations, residency));
+                candidates.set(server, candidate);
             }
         }
     }
 
-    /// Whether an engine takes orders for adapters of a base model now.
-    pub(crate) fn takes_adapters(&self, now: Instant, engine: &Engine, model: &Arc<str>) -> bool {
-        engine.usable()
-            && engine.may_get(FOR_A_LOAD, now)
-            && !engine.cooldown.turns_away()
+    /// Returns whether an engine accepts orders to load adapters of a base model.
+    pub(crate) fn accepts_loads(&self, now: Instant, engine: &Engine, model: &Arc<str>) -> bool {
+        engine.is_usable()
+            && engine.is_within_rate_limit(CALLS_PER_LOAD, now)
+            && !engine.cooldown.is_rejecting()
             && engine.cooldown.allows(now, &self.settings.vm)
-            && !engine.last
-            && !engine.stuck()
-            && engine.coming() < self.settings.tuning.loads_per_server
-            && engine.bases.contains(model)
+            && !engine.deprioritized
+            && !engine.is_retrying_order()
+            && engine.loading_count() < self.settings.tuning.loads_per_server
+            && engine.base_models.contains(model)
     }
 
-    /// The room at an engine for an adapter that it does not hold.
-    fn room(
+    /// Returns the cost of loading an adapter at an engine that does not hold it; `None` if the engine cannot
+    /// load one.
+    fn candidate(
         &self,
         now: Instant,
         engine: &Engine,
         model: &Arc<str>,
-        claims: &Claims,
-        spread: &Spread,
-    ) -> Option<Room> {
-        if !self.takes_adapters(now, engine, model) {
+        reservations: &Reservations,
+        residency: &Residency,
+    ) -> Option<LoadCandidate> {
+        if !self.accepts_loads(now, engine, model) {
             return None;
         }
-        let free = engine.places.len() < self.shape.places && self.fits(engine, model);
-        let (victim, loss) = if free {
+        let has_free_slot =
+            engine.slots.len() < self.engine_spec.places && self.has_memory_for(engine, model);
+        let (victim, loss) = if has_free_slot {
             (None, Span::ZERO)
         } else {
-            let (victim, loss) = self.victim(now, engine, claims, spread)?;
+            let (victim, loss) = self.choose_victim(now, engine, reservations, residency)?;
             (Some(victim), loss)
         };
-        let cost = busy_for(now, engine, claims, None, spread) + loss;
-        Some(Room { victim, cost })
+        let cost = reserved_backlog(now, engine, reservations, None, residency) + loss;
+        Some(LoadCandidate { victim, cost })
     }
 
-    /// The adapter at an engine that makes room at the least loss, of those that nobody uses or waits for.
-    fn victim(
+    /// Returns the adapter at an engine whose eviction costs least, with that cost, among the adapters that no
+    /// request uses or waits for.
+    fn choose_victim(
         &self,
         now: Instant,
         engine: &Engine,
-        claims: &Claims,
-        spread: &Spread,
-    ) -> Option<(Key, Span)> {
-        let places = engine.places.iter();
-        let idle = places.filter(|(key, place)| place.idle() && !claims.claimed(**key));
-        let losses = idle.map(|(key, _)| (*key, self.value(now, *key, spread)));
+        reservations: &Reservations,
+        residency: &Residency,
+    ) -> Option<(AdapterId, Span)> {
+        let slots = engine.slots.iter();
+        let idle =
+            slots.filter(|(adapter, slot)| slot.is_idle() && !reservations.is_reserved(**adapter));
+        let losses =
+            idle.map(|(adapter, _)| (*adapter, self.eviction_cost(now, *adapter, residency)));
         losses.min_by_key(|(_, loss)| *loss)
     }
 
-    /// Whether an engine's memory has room for one more adapter of a base model.
-    fn fits(&self, engine: &Engine, model: &Arc<str>) -> bool {
-        let models = &self.shape.models;
+    /// Returns whether an engine's memory has room for one more adapter of a base model.
+    fn has_memory_for(&self, engine: &Engine, model: &Arc<str>) -> bool {
+        let models = &self.engine_spec.models;
         let size = |name: &Arc<str>| models.iter().find(|m| m.name == *name);
-        let bases: f64 = engine
-            .bases
+        let base_models: f64 = engine
+            .base_models
             .iter()
             .filter_map(size)
             .map(|m| m.size_mb)
             .sum();
         let adapters: f64 = engine
-            .places
+            .slots
             .keys()
-            .filter_map(|key| size(&self.keys.name(*key).model))
+            .filter_map(|adapter| size(&self.adapters.name(*adapter).model))
             .map(|m| m.adapter_mb)
             .sum();
-        let more = size(model).map_or(0.0, |m| m.adapter_mb);
-        bases + adapters + more <= self.shape.memory_mb
+        let added = size(model).map_or(0.0, |m| m.adapter_mb);
+        base_models + adapters + added <= self.engine_spec.memory_mb
     }
 }
 
-/// The time until the prompts are read that an engine was given, and those that are claimed of it for adapters other than one.
-pub(crate) fn busy_for(
+/// Returns the time until an engine has finished the prefill of its prompts and of the prompts reserved there,
+/// except those reserved for the adapter `excluded`.
+pub(crate) fn reserved_backlog(
     now: Instant,
     engine: &Engine,
-    claims: &Claims,
-    except: Option<Key>,
-    spread: &Spread,
+    reservations: &Reservations,
+    excluded: Option<AdapterId>,
+    residency: &Residency,
 ) -> Span {
-    engine.backlog(now) + reading(claims.at(engine, except, spread), engine.rate)
+    engine.backlog(now)
+        + prefill_time(
+            reservations.tokens_at(engine, excluded, residency),
+            engine.prefill_rate,
+        )
 }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -1,5 +1,5 @@
-//! This VM's side of the scheduling: it asks the holder of a service for places, and goes on by itself with what was
-//! resident where no holder answers.
+//! Asks the scheduler of each service for placements on behalf of this VM's requests. While no scheduler
+//! answers, this VM places requests itself, by the last known resident adapters.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,48 +17,50 @@
 use crate::message::{EngineResidents, Message, PlacementRequest, Progress, Running};
 use crate::metrics;
 use crate::node::Gateway;
-use crate::request::state::Phase;
+use crate::request::state::{Phase, RequestState};
 use crate::timer::Timer;
 
-/// The time without any word of the holder after which this VM goes on by itself: three of the holder's digests.
+/// Time without a message of the holder after which this VM places requests itself: three of the holder's
+/// heartbeats and a margin.
 pub(crate) const HOLDER_TIMEOUT: Span = Span::from_millis(900);
 
-/// The time after which a request that has heard nothing is asked for again, in case that the first question was lost:
-/// an objective's length, since most are placed within it.
+/// Time after which a placement request without an answer is repeated, in case the first one was lost. It
+/// equals the usual objective, within which most requests are placed.
 pub(crate) const PLACEMENT_RETRY_DELAY: Span = Span::from_millis(1_000);
 
-/// What this VM knows of a service's scheduler.
+/// What this VM knows of one service's scheduler.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// The VM that holds the leadership, as far as is known.
+    /// The VM that holds the leadership; `None` if it is vacant or unknown.
     pub(crate) holder: Option<Vm>,
-    /// The highest fencing number heard of.
+    /// The highest fencing token seen.
     pub(crate) fence: u64,
-    /// When the holder was last heard.
-    heard: Instant,
-    /// Whether it was heard under the present fencing number. What it was sent before that may have come before it knew
-    /// that it holds the leadership, and is told again.
-    met: bool,
-    /// Whether it counts as silent.
+    /// When the holder's last message came.
+    last_heard: Instant,
+    /// Whether the holder was told of this VM's requests under its current fencing token. What it was sent
+    /// earlier may have arrived before it knew that it holds the leadership, so all of it is sent again.
+    resynced: bool,
+    /// Whether the holder counts as silent, so that this VM places requests itself.
     pub(crate) silent: bool,
-    /// What each engine held by its last word.
+    /// The resident adapters of each engine, by the last message of the scheduler and this VM's own placements.
     residents: BTreeMap<Server, Vec<Resident>>,
 }
 
 impl Gateway {
-    /// Asks the scheduler for a place.
+    /// Asks the scheduler for a placement of a request. Places the request itself if the scheduler is unknown
+    /// or silent.
     pub(crate) fn request_placement(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        let Some(want) = state.want(request, &self.settings.zone, now) else {
+        let Some(placement) = state.want(request, &self.settings.zone, now) else {
             return;
         };
         let service = state.service.clone();
         let me = self.settings.vm.clone();
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
-            scheduler.enqueue(now, &me, want);
+            scheduler.enqueue(now, &me, placement);
             return;
         }
         self.timers
@@ -66,14 +68,14 @@
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         match client.holder.clone() {
             Some(holder) if !client.silent => {
-                self.send(&holder, Message::PlacementRequest(service, want), out);
+                self.send(&holder, Message::PlacementRequest(service, placement), out);
             }
-            _ => self.place_alone(request, out),
+            _ => self.place_unscheduled(request, out),
         }
     }
 
-    /// Places a request without the scheduler, where its adapter was resident by the last word.
-    fn place_alone(&mut self, request: RequestId, out: &mut Effects) {
+    /// Places a request without the scheduler, at a server where its adapter was last known to be resident.
+    fn place_unscheduled(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
@@ -90,32 +92,33 @@
         let Some(client) = self.scheduler_clients.get(&service) else {
             return;
         };
-        let holding = |server: &Server| {
-            let held = client.residents.get(server)?;
-            let fits = |r: &Resident| Some(&r.adapter) == adapter.as_ref() && r.version >= newest;
-            held.iter().find(|resident| fits(resident))
+        let resident_at = |server: &Server| {
+            let residents = client.residents.get(server)?;
+            let matches_adapter =
+                |r: &Resident| Some(&r.adapter) == adapter.as_ref() && r.version >= newest;
+            residents.iter().find(|resident| matches_adapter(resident))
         };
         let servers = self.servers.keys();
-        let holders: Vec<Server> = servers
-            .filter(|server| adapter.is_none() || holding(server).is_some())
+        let candidates: Vec<Server> = servers
+            .filter(|server| adapter.is_none() || resident_at(server).is_some())
             .cloned()
             .collect();
-        let choice = self.choose_server(&service, &failed, |server| holders.contains(server));
+        let choice = self.choose_server(&service, &failed, |server| candidates.contains(server));
         if let Some(server) = choice {
             self.send_unscheduled(request, &server, version, out);
         }
     }
 
-    /// The newest version of an adapter that is known, 0 where none was named.
+    /// Returns the newest published version of an adapter; 0 if none was published.
     pub(crate) fn newest(&self, model: &Arc<str>, adapter: &Arc<str>) -> Version {
-        let subject = EntryKey::Version(model.clone(), adapter.clone());
-        match self.snapshot.get(&subject).and_then(|c| c.value.as_ref()) {
+        let key = EntryKey::Version(model.clone(), adapter.clone());
+        match self.snapshot.get(&key).and_then(|c| c.value.as_ref()) {
             Some(EntryValue::Version(version)) => *version,
             _ => 0,
         }
     }
 
-    /// Tells the scheduler how a request goes.
+    /// Reports the progress of a request to its scheduler.
     pub(crate) fn report_progress(
         &mut self,
         request: RequestId,
@@ -143,7 +146,7 @@
         }
     }
 
-    /// The key-value service names the holder of a leadership.
+    /// Handles a leadership entry of the key-value service that names the holder.
     pub(crate) fn handle_new_holder(
         &mut self,
         service: &Service,
@@ -156,14 +159,14 @@
             return;
         }
         let changed = client.fence != fence || client.holder.as_ref() != Some(&holder.vm);
-        let known = client.holder.is_some();
-        client.met = !changed && client.met;
+        let had_holder = client.holder.is_some();
+        client.resynced = !changed && client.resynced;
         client.fence = fence;
         client.holder = Some(holder.vm.clone());
         if !changed {
             return;
         }
-        if known {
+        if had_holder {
             self.leaderships.record_holder_change(service, self.now);
         }
         Self::log(
@@ -176,28 +179,29 @@
         } else {
             self.leaderships.cancel_candidacy(service);
             self.stop_scheduler(service, out);
-            self.introduce(service, out);
+            self.resync(service, out);
             self.update_candidacies(out);
         }
     }
 
-    /// The leadership is free.
+    /// Handles a leadership that became vacant in the key-value service.
     pub(crate) fn handle_holder_gone(&mut self, service: &Service, out: &mut Effects) {
         let client = self.scheduler_clients.entry(service.clone()).or_default();
-        let old = client.holder.take();
+        let previous = client.holder.take();
         Self::log(
             out,
             Code::HolderGone,
-            format!("service={service} fence={} was={old:?}", client.fence),
+            format!("service={service} fence={} was={previous:?}", client.fence),
         );
-        if old.as_ref() == Some(&self.settings.vm) {
+        if previous.as_ref() == Some(&self.settings.vm) {
             self.stop_scheduler(service, out);
         }
-        self.go_alone(service, out);
+        self.place_waiting_unscheduled(service, out);
         self.update_candidacies(out);
     }
 
-    /// Whether a message of a scheduler counts: it does unless a newer one is known.
+    /// Returns whether a scheduler's message is valid, i.e. no higher fencing token is known, and if so records
+    /// its sender as the holder.
     pub(crate) fn accept_scheduler_message(
         &mut self,
         service: &Service,
@@ -214,12 +218,13 @@
         let changed = fence > client.fence
             || client.holder.as_ref() != Some(from)
             || client.silent
-            || !client.met;
-        // Where it is not known yet where the holder is, nothing can be told to it, and it is met at its next word.
-        client.met = self.membership.address(from).is_some();
+            || !client.resynced;
+        // While the holder's address is unknown, nothing can be sent to it: the resync is then repeated at its
+        // next message.
+        client.resynced = self.membership.address(from).is_some();
         client.fence = fence;
         client.holder = Some(from.clone());
-        client.heard = now;
+        client.last_heard = now;
         client.silent = false;
         self.timers.set(now + HOLDER_TIMEOUT, Timer::Leadership);
         if changed {
@@ -230,12 +235,12 @@
                 format!("service={service} vm={from} fence={fence} by=peer"),
             );
             self.stop_scheduler(service, out);
-            self.introduce(service, out);
+            self.resync(service, out);
         }
         true
     }
 
-    /// The VM that schedules a service, as long as it is heard.
+    /// Returns the VM that schedules a service; `None` if it is unknown or silent.
     pub(crate) fn scheduler_vm(&self, service: &Service) -> Option<Vm> {
         if self.schedulers.contains_key(service) {
             return Some(self.settings.vm.clone());
@@ -247,33 +252,34 @@
         client.holder.clone()
     }
 
-    /// When the holder of a service was last heard.
+    /// Returns when the last message of a service's holder came.
     pub(crate) fn holder_last_heard(&self, service: &Service) -> Instant {
         let client = self.scheduler_clients.get(service);
-        client.map_or(Instant::default(), |client| client.heard)
+        client.map_or(Instant::default(), |client| client.last_heard)
     }
 
-    /// Keeps what the scheduler says some engines hold.
+    /// Records the resident adapters of some engines, as the scheduler sent them.
     pub(crate) fn record_residents(&mut self, service: &Service, residents: Vec<EngineResidents>) {
         let servers = &self.servers;
         let client = self.scheduler_clients.entry(service.clone()).or_default();
         client
             .residents
             .retain(|server, _| servers.contains_key(server));
-        for holding in residents {
-            client.residents.insert(holding.server, holding.adapters);
+        for engine in residents {
+            client.residents.insert(engine.server, engine.adapters);
         }
     }
 
-    /// A server has started again and holds nothing of what it held.
+    /// Removes the resident adapters of a server that has restarted.
     pub(crate) fn clear_residents(&mut self, service: &Service, server: &Server) {
         if let Some(client) = self.scheduler_clients.get_mut(service) {
             client.residents.remove(server);
         }
     }
 
-    /// Keeps where the scheduler had a request of this VM run: its adapter is there, until a word of the scheduler says
-    /// otherwise or the engine has had as many newer ones as it holds.
+    /// Records the adapter of a request that the scheduler placed as resident at its server. It counts as
+    /// resident until the scheduler reports otherwise, or until as many newer adapters were placed there as the
+    /// engine has slots.
     pub(crate) fn record_placement(
         &mut self,
         request: RequestId,
@@ -287,69 +293,74 @@
         let Some(adapter) = adapter else {
             return;
         };
-        // Where no version is named, any will do.
+        // Without a required version, any version may be used.
         let version = version.unwrap_or(0);
-        let shape = self
+        let engine_spec = self
             .index
             .service(state.service.as_str())
-            .and_then(|application| application.engine.as_ref());
-        let places = shape.map_or(0, |shape| shape.places);
+            .and_then(|config| config.engine.as_ref());
+        let slots = engine_spec.map_or(0, |spec| spec.places);
         let Some(client) = self.scheduler_clients.get_mut(&state.service) else {
             return;
         };
-        let row = client.residents.entry(server.clone()).or_default();
-        row.retain(|resident| resident.adapter != adapter);
-        if row.len() >= places.max(1) {
-            row.remove(0);
+        let residents = client.residents.entry(server.clone()).or_default();
+        residents.retain(|resident| resident.adapter != adapter);
+        if residents.len() >= slots.max(1) {
+            residents.remove(0);
         }
-        row.push(Resident { adapter, version });
+        residents.push(Resident { adapter, version });
     }
 
-    /// A link broke: where it led to a holder, this VM goes on alone until it hears of one again.
+    /// Handles a broken connection to a VM. If that VM holds a leadership, this VM places requests itself until
+    /// it hears from a holder again.
     pub(crate) fn peer_down(&mut self, address: SocketAddr, fault: LinkFault, out: &mut Effects) {
         let now = self.now;
-        let Some((vm, gone)) = self.membership.record_link_failure(address, fault, now) else {
+        let Some((vm, is_gone)) = self.membership.record_link_failure(address, fault, now) else {
             return;
         };
-        if gone {
+        if is_gone {
             self.remove_scheduler_vm(&vm);
         }
         self.quota_vm_down(&vm, out);
-        // A holder whose word still comes is busy, not gone.
-        let busy =
-            |client: &State| fault == LinkFault::Late && now.since(client.heard) < HOLDER_TIMEOUT;
-        let holds = |client: &State| client.holder.as_ref() == Some(&vm) && !busy(client);
-        let led = self
+        // A holder whose messages still arrive is busy, not gone.
+        let is_busy = |client: &State| {
+            fault == LinkFault::Late && now.since(client.last_heard) < HOLDER_TIMEOUT
+        };
+        let is_lost_holder =
+            |client: &State| client.holder.as_ref() == Some(&vm) && !is_busy(client);
+        let lost = self
             .scheduler_clients
             .iter()
-            .filter(|(_, client)| holds(client));
-        let services: Vec<Service> = led.map(|(service, _)| service.clone()).collect();
+            .filter(|(_, client)| is_lost_holder(client));
+        let services: Vec<Service> = lost.map(|(service, _)| service.clone()).collect();
         for service in services {
-            self.holder_silent(&service, "link_down", out);
+            self.mark_holder_silent(&service, "link_down", out);
         }
     }
 
-    /// Looks whether the holders have been silent for too long.
+    /// Marks the holders as silent from which no message came for [`HOLDER_TIMEOUT`].
     pub(crate) fn check_holder_timeouts(&mut self, out: &mut Effects) {
         let now = self.now;
         let me = &self.settings.vm;
-        let silent = |a: &State| {
-            !a.silent
-                && a.holder.as_ref().is_some_and(|h| h != me)
-                && now.since(a.heard) >= HOLDER_TIMEOUT
+        let is_silent = |client: &State| {
+            !client.silent
+                && client.holder.as_ref().is_some_and(|holder| holder != me)
+                && now.since(client.last_heard) >= HOLDER_TIMEOUT
         };
         let services: Vec<Service> = self
             .scheduler_clients
             .iter()
-            .filter(|(_, a)| silent(a))
+            .filter(|(_, client)| is_silent(client))
             .map(|(s, _)| s.clone())
             .collect();
         for service in services {
-            self.holder_silent(&service, "no_word", out);
+            self.mark_holder_silent(&service, "no_word", out);
         }
     }
 
-    fn holder_silent(&mut self, service: &Service, why: &str, out: &mut Effects) {
+    /// Marks the holder of a service as silent, places the waiting requests without it, and considers this VM as a
+    /// candidate for the leadership.
+    fn mark_holder_silent(&mut self, service: &Service, reason: &str, out: &mut Effects) {
         let Some(client) = self.scheduler_clients.get_mut(service) else {
             return;
         };
@@ -360,43 +371,43 @@
         Self::log(
             out,
             Code::HolderSilent,
-            format!("service={service} vm={:?} why={why}", client.holder),
+            format!("service={service} vm={:?} why={reason}", client.holder),
         );
-        self.go_alone(service, out);
-        let settled = self.leaderships.changed(service) + MIN_TENURE;
-        self.timers.set(settled, Timer::Leadership);
+        self.place_waiting_unscheduled(service, out);
+        let tenure_end = self.leaderships.changed(service) + MIN_TENURE;
+        self.timers.set(tenure_end, Timer::Leadership);
         self.update_candidacies(out);
     }
 
-    /// Places what waits without the scheduler, as far as its adapters are resident.
-    fn go_alone(&mut self, service: &Service, out: &mut Effects) {
+    /// Places the waiting requests of a service without the scheduler, as far as their adapters are resident.
+    fn place_waiting_unscheduled(&mut self, service: &Service, out: &mut Effects) {
         let waiting: Vec<RequestId> = self
             .in_flight
             .iter()
-            .filter(|(_, f)| f.service == *service && f.phase == Phase::Waiting)
+            .filter(|(_, state)| state.service == *service && state.phase == Phase::Waiting)
             .map(|(id, _)| *id)
             .collect();
         for request in waiting {
-            self.place_alone(request, out);
+            self.place_unscheduled(request, out);
         }
     }
 
-    /// Tells a new scheduler all that runs and waits here.
-    fn introduce(&mut self, service: &Service, out: &mut Effects) {
+    /// Sends all running and waiting requests of this VM to a new scheduler.
+    fn resync(&mut self, service: &Service, out: &mut Effects) {
         let Some(client) = self.scheduler_clients.get_mut(service) else {
             return;
         };
         client.silent = false;
-        client.heard = self.now;
+        client.last_heard = self.now;
         let Some(holder) = client.holder.clone().filter(|vm| *vm != self.settings.vm) else {
             return;
         };
-        let (running, wants) = self.running_and_waiting(service);
+        let (running, waiting) = self.running_and_waiting(service);
         self.timers
             .set(self.now + HOLDER_TIMEOUT, Timer::Leadership);
         self.send(
             &holder,
-            Message::Resync(service.clone(), self.member(), running, wants),
+            Message::Resync(service.clone(), self.member(), running, waiting),
             out,
         );
         for message in self.notice_messages(service) {
@@ -404,28 +415,33 @@
         }
     }
 
-    /// All that runs and waits on this VM for a service.
+    /// Returns the requests of a service that run at a server, and those that wait for a placement.
     pub(crate) fn running_and_waiting(
         &self,
         service: &Service,
     ) -> (Vec<Running>, Vec<PlacementRequest>) {
         let mut running = Vec::new();
-        let mut wants = Vec::new();
-        // What waits for tokens of its account or for leave at a server wants no place yet.
-        let unasked = |f: &crate::request::state::RequestState| {
-            matches!(f.phase, Phase::Charging | Phase::Permit { .. })
-        };
-        let asked = |f: &crate::request::state::RequestState| f.service == *service && !unasked(f);
-        for (request, state) in self.in_flight.iter().filter(|(_, state)| asked(state)) {
+        let mut waiting = Vec::new();
+        // A request that waits for its account's token quota or for a send permit does not need a placement
+        // yet.
+        let is_held_back =
+            |state: &RequestState| matches!(state.phase, Phase::Charging | Phase::Permit { .. });
+        let is_known_to_scheduler =
+            |state: &RequestState| state.service == *service && !is_held_back(state);
+        for (request, state) in self
+            .in_flight
+            .iter()
+            .filter(|(_, state)| is_known_to_scheduler(state))
+        {
             match (state.server(), &state.call.work) {
                 (Some(server), Some(work)) => running.push(Running {
                     request: *request,
                     server: server.clone(),
                     work: work.clone(),
                 }),
-                _ => wants.extend(state.want(*request, &self.settings.zone, self.now)),
+                _ => waiting.extend(state.want(*request, &self.settings.zone, self.now)),
             }
         }
-        (running, wants)
+        (running, waiting)
     }
 }
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -1,114 +1,145 @@
-//! Which request goes to which engine, and what its way there tells.
+//! Chooses the engine for each request, and learns from the request's progress how fast and how healthy the
+//! engines are.
 
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::log::{Code, Record};
 use dahliastile_core::time::{Instant, Span};
 
-use super::engine::{Engine, Stage};
-use super::job::{Job, JobId, State};
-use super::residency::Spread;
+use super::engine::{AdapterState, Engine};
+use super::residency::Residency;
+use super::scheduled_request::{ScheduledRequest, State, VmRequestId};
 use super::{Decision, Scheduler};
 use crate::event::{Execution, FailureCause};
 use crate::feature::Feature;
 
-/// The cost of another availability zone, as a time: bytes between zones cost about a twentieth of a plan's worth, which
-/// a wait of this length costs too.
-const OTHER_ZONE: Span = Span::from_millis(15);
+/// Cost of an engine in another availability zone than the request's VM, as a waiting time. The traffic between
+/// zones costs about a twentieth of the value of one `plan` request, and a wait of this length costs as much.
+const CROSS_ZONE_COST: Span = Span::from_millis(15);
 
-/// What each request that runs already costs one more: its tokens lengthen each step.
-const EACH_RUNNING: Span = Span::from_millis(4);
+/// Cost of each request that already runs at an engine, as a waiting time: its tokens lengthen every decoding
+/// step.
+const COST_PER_RUNNING: Span = Span::from_millis(4);
 
-/// What is added for an engine that fails requests: more than any backlog.
-const SHUNNED: Span = Span::from_secs(60);
+/// Cost of an engine that is deprioritized for its failures, as a waiting time: longer than any backlog.
+const DEPRIORITIZED_COST: Span = Span::from_secs(60);
 
-/// How long an adapter that was refused right after it was expected is given: a fifth of its usual time.
-const NOT_YET: Span = Span::from_millis(50);
+/// How much longer to wait for an adapter whose load was expected to be complete when the engine rejected a
+/// request for it: a fifth of the usual load time.
+const EXTRA_LOAD_TIME: Span = Span::from_millis(50);
 
-/// How much longer a load is taken to last after one that was not done when expected, and how much shorter after each
-/// one that was, with `STEP_LOADS` under way: one in nine comes too early, which costs a rejected arrival and 50 ms. Loads
-/// that are under way together tell the same thing together, so with more of them each tells less.
-const LATER: Span = Span::from_millis(8);
-const SOONER: Span = Span::from_millis(1);
+/// Change of the estimated load time after a load that was not complete when expected, and after one that was,
+/// with [`REFERENCE_LOADS`] concurrent loads. With these two steps, one load in nine completes later than
+/// expected, which costs a rejected request and 50 ms. Concurrent loads are slow or fast together, so the steps
+/// are smaller with more of them.
+const LOAD_TIME_INCREASE: Span = Span::from_millis(8);
+const LOAD_TIME_DECREASE: Span = Span::from_millis(1);
 
-/// The loads under way at the deployments where those steps were tried.
-const STEP_LOADS: u64 = 8;
+/// Number of concurrent loads at the deployments for which the two steps were chosen.
+const REFERENCE_LOADS: u64 = 8;
 
-/// How often an adapter may be refused before the engine's report is read.
-const REFUSALS: u32 = 3;
+/// How often an engine may reject requests for an adapter that should be resident before its report is read.
+const MAX_REJECTIONS: u32 = 3;
 
-/// The longest pause between two looks at requests that wait for room.
-const LOOK_AGAIN: Span = Span::from_millis(25);
+/// Longest time between two attempts to place the waiting requests.
+const PLACEMENT_RETRY_INTERVAL: Span = Span::from_millis(25);
 
 impl Scheduler {
-    /// Gives places to the requests that can have one now.
-    pub(crate) fn place_jobs(&mut self, now: Instant, spread: &Spread, out: &mut Vec<Decision>) {
-        for id in self.jobs.waiting(now) {
-            let Some(job) = self.jobs.get(&id) else {
+    /// Places the waiting requests that an engine can start now.
+    pub(crate) fn place_requests(
+        &mut self,
+        now: Instant,
+        residency: &Residency,
+        out: &mut Vec<Decision>,
+    ) {
+        for id in self.requests.waiting(now) {
+            let Some(request) = self.requests.get(&id) else {
                 continue;
             };
-            let Some((server, cost)) = self.best(now, &id.vm, job, spread) else {
+            let Some((server, cost)) = self.cheapest_engine(now, &id.vm, request, residency) else {
                 continue;
             };
             let engine = &self.engines[&server];
             let tuning = &self.settings.tuning;
-            let room = engine.running < tuning.running_per_engine.min(self.shape.batch);
-            let ahead = engine.backlog_with(now, engine.reads(job));
-            let soon = engine.unread == 0 || ahead <= tuning.backlog;
-            if room && soon && cost < SHUNNED {
-                self.give(now, &id, &server, out);
+            let has_batch_slot =
+                engine.running < tuning.running_per_engine.min(self.engine_spec.batch);
+            let ahead = engine.backlog_including(now, engine.tokens_to_read(request));
+            let starts_soon = engine.unread_tokens == 0 || ahead <= tuning.backlog;
+            if has_batch_slot && starts_soon && cost < DEPRIORITIZED_COST {
+                self.dispatch(now, &id, &server, out);
             } else {
-                self.by(now + LOOK_AGAIN);
+                self.run_by(now + PLACEMENT_RETRY_INTERVAL);
             }
         }
     }
 
-    /// The engine that could run a request at the least cost, of those that hold what it needs.
-    fn best(&self, now: Instant, vm: &Vm, job: &Job, spread: &Spread) -> Option<(Server, Span)> {
+    /// Returns the engine that can run a request at the lowest cost, with that cost.
+    fn cheapest_engine(
+        &self,
+        now: Instant,
+        vm: &Vm,
+        request: &ScheduledRequest,
+        residency: &Residency,
+    ) -> Option<(Server, Span)> {
         let zones = self.settings.uses(Feature::ZonePreference);
-        let cost = |server: &Server, engine: &Engine| {
-            let open = engine.usable() && engine.may_get(1, now) && engine.cooldown.allows(now, vm);
-            let fit = open && !job.failed.contains(server);
-            fit.then(|| cost(engine, job, now, zones))
+        let cost_at = |server: &Server, engine: &Engine| {
+            let is_open = engine.is_usable()
+                && engine.is_within_rate_limit(1, now)
+                && engine.cooldown.allows(now, vm);
+            let is_eligible = is_open && !request.failed.contains(server);
+            is_eligible.then(|| cost(engine, request, now, zones))
         };
-        let ready = |key| spread.ready(key).iter();
-        let named = job.key.into_iter().flat_map(ready);
-        let known = named.filter_map(|server| Some((server, self.engines.get(server)?)));
-        // Only a request that names no adapter looks at all engines.
-        let all = job.key.is_none().then_some(&self.engines);
+        let ready = |adapter| residency.ready_servers(adapter).iter();
+        let holding = request.adapter.into_iter().flat_map(ready);
+        let with_adapter = holding.filter_map(|server| Some((server, self.engines.get(server)?)));
+        // Only a request without an adapter visits all engines.
+        let all = request.adapter.is_none().then_some(&self.engines);
         let all = all.into_iter().flatten();
-        let bases = all.filter(|(_, engine)| engine.bases.contains(&job.work.model));
-        let costs = known
-            .chain(bases)
-            .filter_map(|(server, engine)| Some((server, cost(server, engine)?)));
+        let with_base_model =
+            all.filter(|(_, engine)| engine.base_models.contains(&request.work.model));
+        let costs = with_adapter
+            .chain(with_base_model)
+            .filter_map(|(server, engine)| Some((server, cost_at(server, engine)?)));
         let least = costs.min_by_key(|(_, cost)| *cost);
         least.map(|(server, cost)| (server.clone(), cost))
     }
 
-    fn give(&mut self, now: Instant, id: &JobId, server: &Server, out: &mut Vec<Decision>) {
-        let reads = self.jobs.get(id).map(|job| self.engines[server].reads(job));
-        self.jobs.start(id, server, reads.unwrap_or(0), now);
-        let Some(job) = self.jobs.get(id).cloned() else {
+    /// Places a request at a server, and appends the decision and its log event to `out`.
+    fn dispatch(
+        &mut self,
+        now: Instant,
+        id: &VmRequestId,
+        server: &Server,
+        out: &mut Vec<Decision>,
+    ) {
+        let tokens = self
+            .requests
+            .get(id)
+            .map(|request| self.engines[server].tokens_to_read(request));
+        self.requests.start(id, server, tokens.unwrap_or(0), now);
+        let Some(request) = self.requests.get(id).cloned() else {
             return;
         };
         let engine = &self.engines[server];
-        let place = job.key.and_then(|key| engine.places.get(&key));
-        let version = place.map(|place| place.version);
+        let slot = request
+            .adapter
+            .and_then(|adapter| engine.slots.get(&adapter));
+        let version = slot.map(|slot| slot.version);
         let version = version.filter(|version| *version > 0);
-        self.occupy(&job, server);
+        self.occupy(&request, server);
         if let Some(engine) = self.engines.get_mut(server) {
-            engine.take_one(now);
-            engine.cooldown.give(now);
-            engine.add(now, job.reads);
-            let waited = now.since(job.arrived);
-            let adapter = job.work.adapter.as_deref().unwrap_or("-");
+            engine.count_call(now);
+            engine.cooldown.record_dispatch(now);
+            engine.add_prefill(now, request.prefill_tokens);
+            let waited = now.since(request.arrived);
+            let adapter = request.work.adapter.as_deref().unwrap_or("-");
             let detail = format!(
                 "id={} vm={} adapter={adapter} version={version:?} server={server} waited={waited} reads={} running={} backlog={} limit={}",
-                job.id,
+                request.id,
                 id.vm,
-                job.reads,
+                request.prefill_tokens,
                 engine.running,
                 engine.backlog(now),
-                limit(engine, now)
+                describe_limit(engine, now)
             );
             out.push(Decision::Log(Record::new(Code::Placed, detail)));
         }
@@ -120,129 +151,151 @@
         ));
     }
 
-    /// Counts a request on its engine and its adapter's place.
-    pub(crate) fn occupy(&mut self, job: &Job, server: &Server) {
+    /// Adds a request to the counts of its engine and of its adapter there.
+    pub(crate) fn occupy(&mut self, request: &ScheduledRequest, server: &Server) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
         engine.running += 1;
-        let Some(key) = job.key else {
+        let Some(adapter) = request.adapter else {
             return;
         };
         if self.settings.uses(Feature::PrefixCache) {
-            let kept = &mut engine.kept;
-            kept.read(key, &job.work.prompt_parts, self.shape.tokens);
+            let cache = &mut engine.prefix_cache;
+            cache.insert_prompt(adapter, &request.work.prompt_parts, self.engine_spec.tokens);
         }
-        if let Some(place) = engine.places.get_mut(&key) {
-            place.used += 1;
+        if let Some(slot) = engine.slots.get_mut(&adapter) {
+            slot.running += 1;
         }
     }
 
-    /// Takes a request off the engine where it was.
-    pub(crate) fn release(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get(id) else {
+    /// Removes a request from the counts of its engine and of its adapter there.
+    pub(crate) fn release(&mut self, id: &VmRequestId) {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let State::Running { server, begun, .. } = job.state() else {
+        let State::Running {
+            server,
+            answer_started,
+            ..
+        } = request.state()
+        else {
             return;
         };
-        let (key, reads) = (job.key, u64::from(job.reads));
+        let (adapter, tokens) = (request.adapter, u64::from(request.prefill_tokens));
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
         engine.running = engine.running.saturating_sub(1);
-        if !*begun {
-            engine.unread = engine.unread.saturating_sub(reads);
+        if !*answer_started {
+            engine.unread_tokens = engine.unread_tokens.saturating_sub(tokens);
         }
-        let Some(key) = key else {
+        let Some(adapter) = adapter else {
             return;
         };
-        self.remembering.touch(server, &mut engine.recent, key);
-        if let Some(place) = engine.places.get_mut(&key) {
-            place.used = place.used.saturating_sub(1);
+        self.recent_engines
+            .record_use(server, &mut engine.recent_adapters, adapter);
+        if let Some(slot) = engine.slots.get_mut(&adapter) {
+            slot.running = slot.running.saturating_sub(1);
         }
     }
 
-    /// The answer to a request has begun.
-    pub(crate) fn job_begun(&mut self, now: Instant, id: &JobId) {
-        let Some((server, since)) = self.jobs.begin(id) else {
+    /// Records that the answer to a request started: updates the engine's prefill rate and health, and the
+    /// estimated load time.
+    pub(crate) fn record_answer_started(&mut self, now: Instant, id: &VmRequestId) {
+        let Some((server, since)) = self.requests.mark_answer_started(id) else {
             return;
         };
-        let Some((key, reads)) = self.jobs.get(id).map(|job| (job.key, job.reads)) else {
+        let Some((adapter, tokens)) = self
+            .requests
+            .get(id)
+            .map(|request| (request.adapter, request.prefill_tokens))
+        else {
             return;
         };
         let Some(engine) = self.engines.get_mut(&server) else {
             return;
         };
-        engine.read(now, reads, since);
+        engine.complete_prefill(now, tokens, since);
         engine.health.record_success(now);
-        engine.cooldown.begin();
-        let place = key.and_then(|key| engine.places.get_mut(&key));
-        if let Some(place) = place {
-            let first = std::mem::replace(&mut place.fresh, false);
-            let refused = std::mem::replace(&mut place.refusals, 0) > 0;
-            if let Some(depth) = place.depth.take().filter(|_| first && !refused) {
-                self.beside.fast(depth);
-            } else if first {
+        engine.cooldown.clear_rejections();
+        let slot = adapter.and_then(|adapter| engine.slots.get_mut(&adapter));
+        if let Some(slot) = slot {
+            let is_first_use = std::mem::replace(&mut slot.is_unused, false);
+            let was_rejected = std::mem::replace(&mut slot.rejections, 0) > 0;
+            if let Some(distance) = slot
+                .local_copy_distance
+                .take()
+                .filter(|_| is_first_use && !was_rejected)
+            {
+                self.local_copies.record_fast_load(distance);
+            } else if is_first_use {
                 let usual = self.settings.tuning.adapter_load;
-                self.load_time = (self.load_time - self.step(SOONER)).max(usual);
+                self.load_time = (self.load_time - self.scale_step(LOAD_TIME_DECREASE)).max(usual);
             }
         }
     }
 
-    /// A request is over.
-    pub(crate) fn job_over(&mut self, id: &JobId) {
+    /// Removes a request that is over.
+    pub(crate) fn remove_request(&mut self, id: &VmRequestId) {
         self.release(id);
-        self.jobs.remove(id);
+        self.requests.remove(id);
     }
 
-    /// An engine failed a request.
-    pub(crate) fn job_failed(
+    /// Removes a request that an engine failed, and updates what the failure shows of the engine and the
+    /// adapter.
+    pub(crate) fn record_attempt_failed(
         &mut self,
         now: Instant,
-        id: &JobId,
-        ran: Execution,
+        id: &VmRequestId,
+        execution: Execution,
         cause: FailureCause,
     ) {
-        let Some(job) = self.jobs.get(id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (key, state) = (job.key, job.state().clone());
-        self.job_over(id);
+        let (adapter, state) = (request.adapter, request.state().clone());
+        self.remove_request(id);
         let State::Running { server, .. } = state else {
             return;
         };
-        let longest = self.settings.tuning.adapter_load.times(4);
-        let longer = (self.load_time + self.step(LATER)).min(longest);
-        let fetched = self.load_time - self.back_time();
+        let max_load_time = self.settings.tuning.adapter_load.times(4);
+        let increased_load_time =
+            (self.load_time + self.scale_step(LOAD_TIME_INCREASE)).min(max_load_time);
+        let remaining_load_time = self.load_time - self.local_load_time();
         let Some(engine) = self.engines.get_mut(&server) else {
             return;
         };
         match cause {
-            // It says nothing of its adapters.
-            FailureCause::Full if engine.cooldown.turns_away() => {}
-            FailureCause::Missing | FailureCause::Full if ran == Execution::No => {
-                let place = key.and_then(|key| engine.places.get_mut(&key));
-                match place {
-                    // It was rejected before the order that is to bring the adapter, or after the one that takes it away.
-                    Some(place) if matches!(place.stage, Stage::Wanted | Stage::Leaving) => {}
-                    // It was not beside the engine any more, and comes from the weight store.
-                    Some(place) if place.depth.is_some() && place.refusals == 0 => {
-                        place.refusals = 1;
-                        place.stage = Stage::Coming(now + fetched);
-                        if let Some(depth) = place.depth.take() {
-                            self.beside.slow(depth);
+            // An engine in a cooldown rejects all requests, so this shows nothing about its adapters.
+            FailureCause::Full if engine.cooldown.is_rejecting() => {}
+            FailureCause::Missing | FailureCause::Full if execution == Execution::No => {
+                let slot = adapter.and_then(|adapter| engine.slots.get_mut(&adapter));
+                match slot {
+                    // The engine rejected the request before it received the load order, or after it received
+                    // the unload order.
+                    Some(slot)
+                        if matches!(
+                            slot.state,
+                            AdapterState::LoadPlanned | AdapterState::UnloadPlanned
+                        ) => {}
+                    // The engine had no local copy left, so the adapter comes from the weight store.
+                    Some(slot) if slot.local_copy_distance.is_some() && slot.rejections == 0 => {
+                        slot.rejections = 1;
+                        slot.state = AdapterState::Loading(now + remaining_load_time);
+                        if let Some(distance) = slot.local_copy_distance.take() {
+                            self.local_copies.record_slow_load(distance);
                         }
                     }
-                    Some(place) if place.refusals < REFUSALS => {
-                        place.refusals += 1;
-                        place.stage = Stage::Coming(now + NOT_YET);
-                        // Its later rejections tell nothing more of how long loads take.
-                        if place.refusals == 1 {
-                            self.load_time = longer;
+                    Some(slot) if slot.rejections < MAX_REJECTIONS => {
+                        slot.rejections += 1;
+                        slot.state = AdapterState::Loading(now + EXTRA_LOAD_TIME);
+                        // Further rejections of the same load give no new information about load times.
+                        if slot.rejections == 1 {
+                            self.load_time = increased_load_time;
                         }
                     }
-                    _ => engine.forget(),
+                    _ => engine.invalidate(),
                 }
             }
             FailureCause::Missing | FailureCause::Full | FailureCause::Declined => {}
@@ -253,14 +306,14 @@
         }
     }
 
-    /// A step of the time that a load is taken to last, for the loads that may be under way together.
-    fn step(&self, step: Span) -> Span {
-        Span(step.0 * STEP_LOADS / self.loads_at_once().max(1) as u64)
+    /// Scales a step of the estimated load time to the number of concurrent loads.
+    fn scale_step(&self, step: Span) -> Span {
+        Span(step.0 * REFERENCE_LOADS / self.max_concurrent_loads().max(1) as u64)
     }
 }
 
-/// The limit that an engine names and its age, for the log.
-fn limit(engine: &Engine, now: Instant) -> String {
+/// Formats an engine's rate limit and its age for the log.
+fn describe_limit(engine: &Engine, now: Instant) -> String {
     engine.rate_limiter.as_ref().map_or_else(
         || "-".to_owned(),
         |rate_limiter| {
@@ -270,15 +323,19 @@
     )
 }
 
-/// What a request costs at an engine, as a time.
-fn cost(engine: &Engine, job: &Job, now: Instant, zones: bool) -> Span {
-    let away = match &job.zone {
-        Some(zone) if zones && *zone != engine.backend.zone => OTHER_ZONE,
+/// Returns the cost of running a request at an engine, as a waiting time.
+fn cost(engine: &Engine, request: &ScheduledRequest, now: Instant, zones: bool) -> Span {
+    let zone_cost = match &request.zone {
+        Some(zone) if zones && *zone != engine.backend.zone => CROSS_ZONE_COST,
         _ => Span::ZERO,
     };
-    let shunned = if engine.last { SHUNNED } else { Span::ZERO };
-    engine.backlog_with(now, engine.reads(job))
-        + EACH_RUNNING.times(u64::from(engine.running))
-        + away
-        + shunned
+    let penalty = if engine.deprioritized {
+        DEPRIORITIZED_COST
+    } else {
+        Span::ZERO
+    };
+    engine.backlog_including(now, engine.tokens_to_read(request))
+        + COST_PER_RUNNING.times(u64::from(engine.running))
+        + zone_cost
+        + penalty
 }
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -1,4 +1,4 @@
-//! One engine as the scheduler sees it.
+//! The state of one engine: its adapters, its requests, its orders and its measured speed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -6,360 +6,379 @@
 use dahliastile_core::id::Incarnation;
 use dahliastile_core::time::{Instant, Span};
 
-use super::adapter_cache::Recent;
+use super::adapter::{AdapterId, AdapterTable};
+use super::adapter_cache::RecentAdapters;
 use super::cooldown::Cooldown;
-use super::forecast::reading;
-use super::job::Job;
-use super::key::{Key, Keys};
-use super::prefix_cache::Kept;
+use super::forecast::prefill_time;
+use super::prefix_cache::PrefixCache;
+use super::scheduled_request::ScheduledRequest;
 use crate::cluster::snapshot::{Backend, Resident, Version};
 use crate::effect::OrderId;
 use crate::event::Report;
 use crate::request::health::Health;
 use crate::request::notice::rate_limiter::RateLimiter;
 
-/// Prompt tokens that an engine reads in a millisecond until some were measured.
-const FIRST_RATE: f64 = 20.0;
+/// Assumed prefill rate of an engine until it is measured, in prompt tokens per millisecond.
+const INITIAL_PREFILL_RATE: f64 = 20.0;
 
-/// The weight of one measurement of that rate.
-const RATE_WEIGHT: f64 = 0.1;
+/// Weight of one measurement in the moving average of the prefill rate.
+const PREFILL_RATE_WEIGHT: f64 = 0.1;
 
-/// Prompt tokens from which the time to the first event tells the rate: the rest of that time is some 40 ms, as long as
-/// so many tokens take.
-const TELLING: u32 = 500;
+/// Shortest prompt, in tokens to read, from whose time to first chunk the prefill rate is measured. About 40 ms
+/// of that time are not prefill, as long as the prefill of this many tokens takes.
+const MIN_MEASURED_TOKENS: u32 = 500;
 
-/// The bounds within which a measured rate is believed, in tokens a millisecond.
-const RATES: (f64, f64) = (3.0, 60.0);
+/// Bounds of a measured prefill rate, in tokens per millisecond.
+const PREFILL_RATE_BOUNDS: (f64, f64) = (3.0, 60.0);
 
-/// How long after the last order a report is asked for: reports show the engine as of some hundred milliseconds before.
+/// Delay from the last order to the request for a report: a report shows the engine's state of some hundred
+/// milliseconds before.
 pub(crate) const REPORT_LAG: Span = Span::from_millis(250);
 
-/// Whether an adapter can be used.
+/// State of an adapter at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    /// It is to be loaded, and the order is not accepted yet.
-    Wanted,
-    /// It is being loaded, and expected then.
-    Coming(Instant),
-    /// It is there.
+pub(crate) enum AdapterState {
+    /// It is to be loaded; the engine has not accepted the order yet.
+    LoadPlanned,
+    /// It is being loaded, and expected to be ready at this time.
+    Loading(Instant),
+    /// It can be used.
     Ready,
     /// It is to be unloaded.
-    Leaving,
+    UnloadPlanned,
 }
 
-/// One adapter at an engine.
+/// An adapter at an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
-    /// Its version; 0 where none was ever named.
+pub(crate) struct AdapterSlot {
+    /// Its version; 0 if none was ever published.
     pub(crate) version: Version,
-    /// Whether it can be used.
-    pub(crate) stage: Stage,
-    /// Requests that use it.
-    pub(crate) used: u32,
-    /// Whether nothing has run on it since it was loaded.
-    pub(crate) fresh: bool,
-    /// How often it was refused since it was expected to be there.
-    pub(crate) refusals: u32,
-    /// Where it is taken to come from beside the engine: how many others were held there since it was.
-    pub(crate) depth: Option<usize>,
+    pub(crate) state: AdapterState,
+    /// Number of requests that use it.
+    pub(crate) running: u32,
+    /// Whether no answer has started with it since it was loaded.
+    pub(crate) is_unused: bool,
+    /// How often the engine rejected a request for it since it was expected to be ready.
+    pub(crate) rejections: u32,
+    /// If it is expected to load from a local copy: the number of other adapters that the engine held since it
+    /// last held this one.
+    pub(crate) local_copy_distance: Option<usize>,
 }
 
-impl Place {
-    /// Whether the adapter is on its way, or soon will be.
-    pub(crate) fn moves(&self) -> bool {
-        matches!(self.stage, Stage::Coming(_) | Stage::Wanted)
+impl AdapterSlot {
+    /// Returns whether the adapter is being loaded or is to be loaded.
+    pub(crate) fn is_loading(&self) -> bool {
+        matches!(
+            self.state,
+            AdapterState::Loading(_) | AdapterState::LoadPlanned
+        )
     }
 
-    /// Whether the adapter is there and nothing uses it.
-    pub(crate) fn idle(&self) -> bool {
-        self.used == 0 && self.stage == Stage::Ready
+    /// Returns whether the adapter is ready and no request uses it.
+    pub(crate) fn is_idle(&self) -> bool {
+        self.running == 0 && self.state == AdapterState::Ready
     }
 }
 
-/// Something to be ordered of an engine.
+/// An order to an engine that is not sent yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Intent {
-    /// An adapter is loaded, at a version where one was named.
-    Load(Key, Option<Version>),
-    /// An adapter is unloaded.
-    Unload(Key),
-    /// A base model is loaded.
+    /// Loads an adapter, at this version if one was published.
+    Load(AdapterId, Option<Version>),
+    /// Unloads an adapter.
+    Unload(AdapterId),
+    /// Loads a base model.
     Base(Arc<str>),
 }
 
-/// Whether an engine is leaving.
+/// Whether an engine shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Leaving {
-    /// It does not say so.
+    /// It has not announced a shutdown.
     No,
-    /// It was first heard to say so then, and is used for a while, as no other one is there.
-    Since(Instant),
-    /// It was first heard to say so then, and is not used any more.
-    Closed(Instant),
+    /// It announced a shutdown at this time, and is still used because no other engine is available.
+    Draining(Instant),
+    /// It announced a shutdown at this time, and is not used.
+    Excluded(Instant),
 }
 
-/// An order that has no answer yet.
+/// An order that was sent and has no outcome yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
-    /// Its number.
+pub(crate) struct PendingOrder {
     pub(crate) id: OrderId,
-    /// What was ordered.
     pub(crate) intent: Intent,
 }
 
-/// One engine.
+/// An engine as the scheduler knows it.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    /// How it describes itself.
+    /// Its entry in the key-value service.
     pub(crate) backend: Arc<Backend>,
-    /// Whether what it holds is known, by a report and all orders since.
-    pub(crate) known: bool,
-    /// When it was asked for a report that has not come.
-    pub(crate) asked: Option<Instant>,
-    /// Whether that report is waited for.
-    pub(crate) reporting: bool,
-    /// Orders that it has accepted.
-    pub(crate) orders: u64,
-    /// The base models that it holds.
-    pub(crate) bases: Vec<Arc<str>>,
-    /// Until when a base model is on its way to it.
-    pub(crate) base_due: Option<Instant>,
-    /// Its adapters.
-    pub(crate) places: BTreeMap<Key, Place>,
-    /// The adapters that it held recently.
-    pub(crate) recent: Recent,
-    /// The parts of prompts that it keeps.
-    pub(crate) kept: Kept,
-    /// Requests there.
+    /// Whether its adapters and base models are known, from a report and the outcomes of all orders since.
+    pub(crate) state_known: bool,
+    /// When its report was last requested, if none has come since.
+    pub(crate) report_requested: Option<Instant>,
+    /// Whether a request for its report has no outcome yet.
+    pub(crate) awaits_report: bool,
+    /// Number of orders that it has accepted.
+    pub(crate) accepted_orders: u64,
+    /// Base models that it holds.
+    pub(crate) base_models: Vec<Arc<str>>,
+    /// When the base model that it loads is expected to be ready; `None` if it loads none.
+    pub(crate) base_load_due: Option<Instant>,
+    /// Its adapters, including those to be loaded.
+    pub(crate) slots: BTreeMap<AdapterId, AdapterSlot>,
+    /// Adapters that it held recently.
+    pub(crate) recent_adapters: RecentAdapters,
+    /// Parts of prompts that it has cached.
+    pub(crate) prefix_cache: PrefixCache,
+    /// Number of requests that run there.
     pub(crate) running: u32,
-    /// Prompt tokens that it has still to read, of the requests there whose answers have not begun.
-    pub(crate) unread: u64,
-    /// When the last answer began, or work came to an idle engine.
-    pub(crate) last_begun: Instant,
-    /// Prompt tokens it reads in a millisecond, as measured.
-    pub(crate) rate: f64,
-    /// What is to be ordered next.
-    pub(crate) queue: VecDeque<Intent>,
-    /// The order that has no answer yet.
-    pub(crate) pending: Option<Pending>,
-    /// How often the present order was sent.
-    pub(crate) tries: u32,
-    /// When it last took an order.
-    pub(crate) last_order: Instant,
-    /// Whether it is leaving, as it says.
+    /// Prompt tokens that it has still to read, of the requests there whose answers have not started.
+    pub(crate) unread_tokens: u64,
+    /// Start of the current prefill: when the last answer started, or when a request came to the idle engine.
+    pub(crate) prefill_since: Instant,
+    /// Measured prefill rate, in prompt tokens per millisecond.
+    pub(crate) prefill_rate: f64,
+    /// Orders to be sent to it, in order.
+    pub(crate) order_queue: VecDeque<Intent>,
+    /// The order that has no outcome yet.
+    pub(crate) pending_order: Option<PendingOrder>,
+    /// How often the current order was sent.
+    pub(crate) order_attempts: u32,
+    /// When it was last sent an order or answered one.
+    pub(crate) last_order_at: Instant,
+    /// Whether it shuts down.
     pub(crate) leaving: Leaving,
-    /// The rest that it asked for.
+    /// Cooldowns that it asked for.
     pub(crate) cooldown: Cooldown,
-    /// What it may still be sent, where it names a limit.
+    /// Limits the requests sent to it, if it announced a rate limit.
     pub(crate) rate_limiter: Option<RateLimiter>,
-    /// What requests say of its health.
+    /// Its health, from the outcomes of requests.
     pub(crate) health: Health,
-    /// Whether it comes last for now.
-    pub(crate) last: bool,
-    /// The start that all this is of.
-    pub(crate) start: Option<Incarnation>,
+    /// Whether it is deprioritized for its failures.
+    pub(crate) deprioritized: bool,
+    /// The incarnation that this state describes.
+    pub(crate) incarnation: Option<Incarnation>,
 }
 
 impl Engine {
     pub(crate) fn new(backend: Arc<Backend>) -> Self {
         Self {
-            orders: 0,
-            start: backend.start,
+            accepted_orders: 0,
+            incarnation: backend.start,
             backend,
-            known: false,
-            asked: None,
-            reporting: false,
-            bases: Vec::new(),
-            base_due: None,
-            places: BTreeMap::new(),
-            recent: Recent::default(),
-            kept: Kept::default(),
+            state_known: false,
+            report_requested: None,
+            awaits_report: false,
+            base_models: Vec::new(),
+            base_load_due: None,
+            slots: BTreeMap::new(),
+            recent_adapters: RecentAdapters::default(),
+            prefix_cache: PrefixCache::default(),
             running: 0,
-            unread: 0,
-            last_begun: Instant::default(),
-            rate: FIRST_RATE,
-            queue: VecDeque::new(),
-            pending: None,
-            tries: 0,
-            last_order: Instant::default(),
+            unread_tokens: 0,
+            prefill_since: Instant::default(),
+            prefill_rate: INITIAL_PREFILL_RATE,
+            order_queue: VecDeque::new(),
+            pending_order: None,
+            order_attempts: 0,
+            last_order_at: Instant::default(),
             leaving: Leaving::No,
             cooldown: Cooldown::default(),
             rate_limiter: None,
             health: Health::default(),
-            last: false,
+            deprioritized: false,
         }
     }
 
-    /// It describes itself anew. Says whether its entry tells of another start than the last one did. An entry may be written
-    /// late, so that one of an earlier start comes after one of a later: which start it is, its report tells.
-    pub(crate) fn described(&mut self, backend: &Arc<Backend>) -> bool {
-        if backend.bases != self.backend.bases && backend.bases != self.bases {
-            self.forget();
+    /// Updates its entry. Returns whether the entry names another incarnation than before. Entries may be
+    /// written late, so one of an earlier incarnation may follow one of a later; the engine's report shows
+    /// which of them is current.
+    pub(crate) fn update_backend(&mut self, backend: &Arc<Backend>) -> bool {
+        if backend.bases != self.backend.bases && backend.bases != self.base_models {
+            self.invalidate();
         }
-        let other = backend.start != self.backend.start && backend.start != self.start;
+        let is_other_start =
+            backend.start != self.backend.start && backend.start != self.incarnation;
         self.backend = backend.clone();
-        other
+        is_other_start
     }
 
-    /// It has started again: it holds nothing, has taken no orders, and is as healthy as any. How fast it reads stays, and what it
-    /// remembers is for its scheduler to forget.
-    pub(crate) fn restarted(&mut self, start: Option<Incarnation>) {
-        self.forget();
-        self.start = start;
-        self.orders = 0;
-        self.bases.clear();
-        self.base_due = None;
-        self.places.clear();
-        self.kept = Kept::default();
+    /// Resets an engine that has restarted: it holds nothing, has accepted no orders and counts as healthy. The
+    /// measured prefill rate stays; the caller clears `recent_adapters`.
+    pub(crate) fn reset(&mut self, incarnation: Option<Incarnation>) {
+        self.invalidate();
+        self.incarnation = incarnation;
+        self.accepted_orders = 0;
+        self.base_models.clear();
+        self.base_load_due = None;
+        self.slots.clear();
+        self.prefix_cache = PrefixCache::default();
         self.leaving = Leaving::No;
         self.cooldown = Cooldown::default();
         self.rate_limiter = None;
         self.health = Health::default();
-        self.last_order = Instant::default();
+        self.last_order_at = Instant::default();
     }
 
-    /// What it holds is no longer known.
-    pub(crate) fn forget(&mut self) {
-        self.known = false;
-        self.asked = None;
-        self.queue.clear();
-        self.pending = None;
-        self.tries = 0;
+    /// Marks what the engine holds as unknown, so that its report is requested.
+    pub(crate) fn invalidate(&mut self) {
+        self.state_known = false;
+        self.report_requested = None;
+        self.order_queue.clear();
+        self.pending_order = None;
+        self.order_attempts = 0;
     }
 
-    /// Whether it takes requests and orders.
-    pub(crate) fn usable(&self) -> bool {
-        self.known && self.backend.ready && !matches!(self.leaving, Leaving::Closed(_))
+    /// Returns whether it takes requests and orders.
+    pub(crate) fn is_usable(&self) -> bool {
+        self.state_known && self.backend.ready && !matches!(self.leaving, Leaving::Excluded(_))
     }
 
-    /// Whether its limit leaves room for so many requests and orders now.
-    pub(crate) fn may_get(&self, count: u32, now: Instant) -> bool {
+    /// Returns whether its rate limit allows `count` requests or orders now.
+    pub(crate) fn is_within_rate_limit(&self, count: u32, now: Instant) -> bool {
         self.rate_limiter
             .as_ref()
             .is_none_or(|rate_limiter| rate_limiter.available(now) >= f64::from(count))
     }
 
-    /// Counts a request or an order against its limit, if that leaves room for it.
-    pub(crate) fn take_one(&mut self, now: Instant) -> bool {
+    /// Counts a request or an order against its rate limit. Returns whether the limit allowed it.
+    pub(crate) fn count_call(&mut self, now: Instant) -> bool {
         self.rate_limiter
             .as_mut()
             .is_none_or(|rate_limiter| rate_limiter.try_take(now))
     }
 
-    /// Whether it could load a base model and has none, nor one on its way.
-    pub(crate) fn awaits_base(&self) -> bool {
-        let none = self.bases.is_empty() && self.base_due.is_none();
-        self.usable() && none && self.queue.is_empty() && self.pending.is_none()
+    /// Returns whether it could load a base model, holds none and loads none.
+    pub(crate) fn needs_base_model(&self) -> bool {
+        let has_none = self.base_models.is_empty() && self.base_load_due.is_none();
+        self.is_usable() && has_none && self.order_queue.is_empty() && self.pending_order.is_none()
     }
 
-    /// The time until the prompts that it was given and so many tokens more are read, as estimated.
-    pub(crate) fn backlog_with(&self, now: Instant, tokens: u32) -> Span {
-        self.backlog(now) + reading(u64::from(tokens), self.rate)
+    /// Returns the estimated time until it has read all of its prompts and `tokens` more.
+    pub(crate) fn backlog_including(&self, now: Instant, tokens: u32) -> Span {
+        self.backlog(now) + prefill_time(u64::from(tokens), self.prefill_rate)
     }
 
-    /// The prompt tokens of a request that it would have to read: those that it does not keep.
-    pub(crate) fn reads(&self, job: &Job) -> u32 {
-        let kept = job
-            .key
-            .map_or(0, |key| self.kept.of(key, &job.work.prompt_parts));
-        job.work.prompt_tokens.saturating_sub(kept)
+    /// Returns the prompt tokens of a request that are not in its prefix cache.
+    pub(crate) fn tokens_to_read(&self, request: &ScheduledRequest) -> u32 {
+        let cached = request.adapter.map_or(0, |adapter| {
+            self.prefix_cache
+                .cached_tokens(adapter, &request.work.prompt_parts)
+        });
+        request.work.prompt_tokens.saturating_sub(cached)
     }
 
-    /// The time until the prompts that it was given are read, as estimated.
+    /// Returns the estimated time until it has read all of its prompts.
     pub(crate) fn backlog(&self, now: Instant) -> Span {
-        reading(self.unread, self.rate) - now.since(self.last_begun)
+        prefill_time(self.unread_tokens, self.prefill_rate) - now.since(self.prefill_since)
     }
 
-    /// A request was sent there of which it has to read so many prompt tokens.
-    pub(crate) fn add(&mut self, now: Instant, reads: u32) {
-        if self.unread == 0 {
-            self.last_begun = now;
+    /// Adds the prompt of a request that was sent to it, with the number of tokens to read.
+    pub(crate) fn add_prefill(&mut self, now: Instant, tokens: u32) {
+        if self.unread_tokens == 0 {
+            self.prefill_since = now;
         }
-        self.unread += u64::from(reads);
+        self.unread_tokens += u64::from(tokens);
     }
 
-    /// The answer to a request, sent at `since`, of which it had to read so many prompt tokens, has begun.
+    /// Removes a prompt whose answer has started from the backlog, and measures the prefill rate. The request
+    /// was sent at `since`, and `tokens` of its prompt had to be read.
     #[allow(clippy::cast_precision_loss)]
-    pub(crate) fn read(&mut self, now: Instant, reads: u32, since: Instant) {
-        let took = now.since(self.last_begun.max(since)).0 as f64 / 1_000.0;
-        if took > 1.0 && reads >= TELLING {
-            let rate = (f64::from(reads) / took).clamp(RATES.0, RATES.1);
-            self.rate += (rate - self.rate) * RATE_WEIGHT;
+    pub(crate) fn complete_prefill(&mut self, now: Instant, tokens: u32, since: Instant) {
+        let millis = now.since(self.prefill_since.max(since)).0 as f64 / 1_000.0;
+        if millis > 1.0 && tokens >= MIN_MEASURED_TOKENS {
+            let rate =
+                (f64::from(tokens) / millis).clamp(PREFILL_RATE_BOUNDS.0, PREFILL_RATE_BOUNDS.1);
+            self.prefill_rate += (rate - self.prefill_rate) * PREFILL_RATE_WEIGHT;
         }
-        self.last_begun = now;
-        self.unread = self.unread.saturating_sub(u64::from(reads));
+        self.prefill_since = now;
+        self.unread_tokens = self.unread_tokens.saturating_sub(u64::from(tokens));
     }
 
-    /// Whether its present order had no answer before.
-    pub(crate) fn stuck(&self) -> bool {
-        self.tries > 1
+    /// Returns whether its current order was sent before and got no answer.
+    pub(crate) fn is_retrying_order(&self) -> bool {
+        self.order_attempts > 1
     }
 
-    /// Adapters on their way to it.
-    pub(crate) fn coming(&self) -> usize {
-        self.places.values().filter(|place| place.moves()).count()
+    /// Returns the number of adapters being loaded or to be loaded.
+    pub(crate) fn loading_count(&self) -> usize {
+        self.slots.values().filter(|slot| slot.is_loading()).count()
     }
 
-    /// Adapters on their way to it from the weight store.
-    pub(crate) fn fetching(&self) -> usize {
-        let places = self.places.values();
-        let fetching = |place: &&Place| place.moves() && place.depth.is_none();
-        places.filter(fetching).count()
+    /// Returns the number of these that come from the weight store.
+    pub(crate) fn weight_store_loads(&self) -> usize {
+        let slots = self.slots.values();
+        let from_store =
+            |slot: &&AdapterSlot| slot.is_loading() && slot.local_copy_distance.is_none();
+        slots.filter(from_store).count()
     }
 
-    /// Adapters that take a place now; what is only wanted waits for another one to leave.
-    pub(crate) fn held(&self) -> usize {
-        let places = self.places.values();
-        places.filter(|place| place.stage != Stage::Wanted).count()
+    /// Returns the number of adapters that occupy a slot. An adapter that is only planned still waits for
+    /// another one to be unloaded.
+    pub(crate) fn occupied_slots(&self) -> usize {
+        let slots = self.slots.values();
+        slots
+            .filter(|slot| slot.state != AdapterState::LoadPlanned)
+            .count()
     }
 
-    /// The adapters that can be used.
-    pub(crate) fn residents(&self, keys: &Keys) -> Vec<Resident> {
+    /// Returns the adapters that are ready.
+    pub(crate) fn resident_adapters(&self, adapters: &AdapterTable) -> Vec<Resident> {
         let ready = self
-            .places
+            .slots
             .iter()
-            .filter(|(_, place)| place.stage == Stage::Ready);
-        let resident = |(key, place): (&Key, &Place)| Resident {
-            adapter: keys.name(*key).adapter.clone(),
-            version: place.version,
+            .filter(|(_, slot)| slot.state == AdapterState::Ready);
+        let resident = |(adapter, slot): (&AdapterId, &AdapterSlot)| Resident {
+            adapter: adapters.name(*adapter).adapter.clone(),
+            version: slot.version,
         };
         ready.map(resident).collect()
     }
 
-    /// Takes a report in place of all that was believed.
-    pub(crate) fn take(&mut self, now: Instant, report: &Report, load_time: Span, keys: &mut Keys) {
-        self.known = true;
-        self.asked = None;
-        self.orders = report.orders;
-        self.bases = report
+    /// Replaces what is known of its base models and adapters by its report.
+    pub(crate) fn apply_report(
+        &mut self,
+        now: Instant,
+        report: &Report,
+        load_time: Span,
+        adapters: &mut AdapterTable,
+    ) {
+        self.state_known = true;
+        self.report_requested = None;
+        self.accepted_orders = report.orders;
+        self.base_models = report
             .models
             .iter()
             .map(|base| base.model.clone())
             .collect();
-        self.places.clear();
+        self.slots.clear();
         for base in &report.models {
             for resident in &base.adapters {
-                let key = keys.key(&base.model, &resident.adapter);
-                self.places
-                    .insert(key, place(resident.version, Stage::Ready));
+                let id = adapters.intern(&base.model, &resident.adapter);
+                self.slots
+                    .insert(id, unused_slot(resident.version, AdapterState::Ready));
             }
         }
         for (model, adapter, version) in &report.loading {
-            let key = keys.key(model, adapter);
-            self.places
-                .insert(key, place(*version, Stage::Coming(now + load_time)));
+            let id = adapters.intern(model, adapter);
+            self.slots.insert(
+                id,
+                unused_slot(*version, AdapterState::Loading(now + load_time)),
+            );
         }
     }
 }
 
-/// A place that nothing uses yet.
-pub(crate) fn place(version: Version, stage: Stage) -> Place {
-    Place {
+/// Returns a slot for an adapter that no request uses.
+pub(crate) fn unused_slot(version: Version, state: AdapterState) -> AdapterSlot {
+    AdapterSlot {
         version,
-        stage,
-        used: 0,
-        fresh: true,
-        refusals: 0,
-        depth: None,
+        state,
+        running: 0,
+        is_unused: true,
+        rejections: 0,
+        local_copy_distance: None,
     }
 }
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -1,277 +1,304 @@
-//! When each waiting request can begin, as far as that can be foreseen.
+//! Forecasts when each waiting request can start.
 //!
-//! Requests are taken in the order in which they are served. One whose adapter is resident waits for the prompts that
-//! go before it at the engines that hold the adapter; one whose adapter is on its way, for that too; one whose adapter
-//! must be loaded first, for the loads that go before it.
+//! The requests are visited in the order in which they are served. A request whose adapter is resident waits
+//! for the prompts before it at the engines that hold the adapter. One whose adapter is being loaded waits for
+//! that load as well. One whose adapter must be loaded first waits for the loads before it.
 
 use dahliastile_core::id::Vm;
 use dahliastile_core::time::{Instant, Span};
 use rustc_hash::FxHashMap;
 
 use super::Scheduler;
-use super::capacity::FOR_A_LOAD;
+use super::adapter::AdapterId;
+use super::capacity::CALLS_PER_LOAD;
 use super::engine::{Engine, Leaving};
-use super::job::{Job, JobId};
-use super::key::Key;
-use super::load::ROOM_SOON;
-use super::residency::Spread;
+use super::load::SLOT_WAIT;
+use super::residency::Residency;
+use super::scheduled_request::{ScheduledRequest, VmRequestId};
 use crate::account::quota::bucket::wait;
 
-/// A wait that no request has time for.
-const FOREVER: Span = Span::from_secs(3_600);
+/// A wait that exceeds every deadline.
+const UNBOUNDED_WAIT: Span = Span::from_secs(3_600);
 
-/// How long no adapter is loaded where all engines turn requests away: until a request that tries one has begun there.
-const NO_LOADS: Span = Span::from_millis(1_500);
+/// How long no adapter is loaded while all engines reject requests: until a trial request has started at one of
+/// them.
+const LOAD_PAUSE: Span = Span::from_millis(1_500);
 
-/// What a request waits for.
+/// What a request waits for. The names of the variants are logged as `why=`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum For {
-    /// Room at an engine that holds its adapter.
+pub(crate) enum WaitReason {
+    /// Capacity of an engine that holds its adapter, or of any engine if it names none.
     Room,
-    /// The same while a further copy of its adapter is on its way.
+    /// The same, while one more copy of its adapter is being loaded.
     Copy,
-    /// An adapter on its way.
+    /// An adapter that is being loaded.
     Coming,
-    /// A load that has not begun.
+    /// A load that has not started.
     Load,
-    /// Any engine to take requests again.
+    /// Any engine that accepts requests again.
     Engine,
 }
 
 /// The forecast of one waiting request.
 #[derive(Clone, Debug)]
-pub(crate) struct Wait {
-    /// The request.
-    pub(crate) id: JobId,
-    /// What it waits for.
-    pub(crate) what: For,
-    /// How long until it can be given to an engine.
+pub(crate) struct WaitForecast {
+    pub(crate) id: VmRequestId,
+    pub(crate) reason: WaitReason,
+    /// Time until the request can be placed.
     pub(crate) span: Span,
 }
 
-/// What goes before the next request.
+/// What is served before the next request in the queue.
 #[derive(Default)]
-struct Ahead {
-    /// Prompt tokens for each adapter.
-    tokens: FxHashMap<Key, u64>,
-    /// Loads that have not begun.
+struct QueueAhead {
+    /// Prompt tokens to read for each adapter.
+    tokens: FxHashMap<AdapterId, u64>,
+    /// Loads that have not started.
     loads: usize,
-    /// Adapters on their way to all engines.
-    loading: usize,
-    /// The rate of the engine that reads slowest, in tokens a millisecond.
-    slowest: f64,
-    /// What the engines may be sent; none where one of them names no limit.
-    limited: Option<Limited>,
-    /// How long each engine wants nothing of a VM, the shortest first; none where no engine rests.
-    rests: Option<FxHashMap<Vm, Vec<Span>>>,
-    /// Requests that wait for an engine's rest to end.
-    resting: usize,
+    /// Loads from the weight store in progress, over all engines.
+    store_loads: usize,
+    /// Prefill rate of the slowest engine, in tokens per millisecond.
+    slowest_rate: f64,
+    /// Rate limits of all engines together; `None` if any of them has no limit.
+    rate_limit: Option<RateLimitBudget>,
+    /// Time until each engine's cooldown for a VM ends, shortest first; `None` if no engine has a cooldown.
+    cooldowns: Option<FxHashMap<Vm, Vec<Span>>>,
+    /// Number of requests that wait for the end of a cooldown.
+    waiting_for_cooldown: usize,
 }
 
-impl Ahead {
-    /// How long the next request of a VM waits for an engine's rest to end: one each tries an engine.
-    fn next_end(&mut self, vm: &Vm, look: impl FnOnce(&Vm) -> Vec<Span>) -> Span {
-        let Some(rests) = &mut self.rests else {
+impl QueueAhead {
+    /// Returns how long the next request of a VM waits for a cooldown to end. Each request is taken as the
+    /// trial of another engine.
+    fn next_cooldown_end(
+        &mut self,
+        vm: &Vm,
+        cooldown_ends_of: impl FnOnce(&Vm) -> Vec<Span>,
+    ) -> Span {
+        let Some(cooldowns) = &mut self.cooldowns else {
             return Span::ZERO;
         };
-        let ends = rests.entry(vm.clone()).or_insert_with(|| look(vm));
+        let ends = cooldowns
+            .entry(vm.clone())
+            .or_insert_with(|| cooldown_ends_of(vm));
         if ends.first().is_none_or(|first| *first == Span::ZERO) {
             return Span::ZERO;
         }
-        self.resting += 1;
-        let end = ends.get(self.resting - 1).or(ends.last());
+        self.waiting_for_cooldown += 1;
+        let end = ends.get(self.waiting_for_cooldown - 1).or(ends.last());
         end.copied().unwrap_or_default()
     }
 }
 
-/// What engines may be sent that all name limits.
+/// The rate limits of all engines together, where each of them has one.
 #[derive(Clone, Copy)]
-struct Limited {
-    /// Now.
-    left: f64,
-    /// A second.
+struct RateLimitBudget {
+    /// Requests that the engines accept now.
+    available: f64,
+    /// Requests that the engines accept per second.
     rate: f64,
 }
 
-impl Limited {
-    /// Takes what is sent for the next request, and gives the time until it may be.
-    fn next(&mut self, what: For) -> Span {
-        self.left -= match what {
-            For::Room | For::Copy | For::Coming => 1.0,
-            For::Load | For::Engine => f64::from(FOR_A_LOAD),
+impl RateLimitBudget {
+    /// Takes the requests and orders that the next request needs. Returns the time until the limits allow them.
+    fn take_next(&mut self, reason: WaitReason) -> Span {
+        self.available -= match reason {
+            WaitReason::Room | WaitReason::Copy | WaitReason::Coming => 1.0,
+            WaitReason::Load | WaitReason::Engine => f64::from(CALLS_PER_LOAD),
         };
-        wait(-self.left, self.rate)
+        wait(-self.available, self.rate)
     }
 }
 
 impl Scheduler {
-    /// The forecast of all waiting requests, in their order.
-    pub(crate) fn forecast(&self, now: Instant, spread: &Spread) -> Vec<Wait> {
-        let rates = self.engines.values().map(|engine| engine.rate);
-        let rests = self.engines.values().any(|e| e.cooldown.is_asked(now));
-        let mut ahead = Ahead {
-            loading: self.loading(),
-            slowest: rates.fold(f64::MAX, f64::min),
-            limited: self.limited(now),
-            rests: rests.then(FxHashMap::default),
-            ..Ahead::default()
+    /// Returns the forecast of each waiting request, in the order in which they are served.
+    pub(crate) fn forecast(&self, now: Instant, residency: &Residency) -> Vec<WaitForecast> {
+        let rates = self.engines.values().map(|engine| engine.prefill_rate);
+        let cooldowns = self.engines.values().any(|e| e.cooldown.is_active(now));
+        let mut ahead = QueueAhead {
+            store_loads: self.weight_store_loads(),
+            slowest_rate: rates.fold(f64::MAX, f64::min),
+            rate_limit: self.rate_limit(now),
+            cooldowns: cooldowns.then(FxHashMap::default),
+            ..QueueAhead::default()
         };
-        let no_loads = if self.all_turn_away() {
-            NO_LOADS
+        let load_pause = if self.all_rejecting() {
+            LOAD_PAUSE
         } else {
             Span::ZERO
         };
-        let closed = if self.all_leave() {
-            FOREVER
+        let leaving = if self.all_leaving() {
+            UNBOUNDED_WAIT
         } else {
             Span::ZERO
         };
-        let ids = self.jobs.waiting(now).into_iter();
+        let ids = self.requests.waiting(now).into_iter();
         ids.filter_map(|id| {
-            let (what, span) = self.wait_of(now, &id, self.jobs.get(&id)?, spread, &mut ahead);
-            let limited = ahead.limited.as_mut().map(|limited| limited.next(what));
-            let cooldown = ahead.next_end(&id.vm, |vm| self.rest_ends(now, vm));
-            let loads = if what == For::Load {
-                no_loads
+            let (reason, span) =
+                self.forecast_request(now, &id, self.requests.get(&id)?, residency, &mut ahead);
+            let rate_limit = ahead
+                .rate_limit
+                .as_mut()
+                .map(|rate_limit| rate_limit.take_next(reason));
+            let cooldown = ahead.next_cooldown_end(&id.vm, |vm| self.cooldown_ends(now, vm));
+            let paused = if reason == WaitReason::Load {
+                load_pause
             } else {
                 Span::ZERO
             };
-            let engine = limited
+            let engine_wait = rate_limit
                 .unwrap_or_default()
                 .max(cooldown)
-                .max(closed)
-                .max(loads);
-            let (what, span) = if engine > span {
-                (For::Engine, engine)
+                .max(leaving)
+                .max(paused);
+            let (reason, span) = if engine_wait > span {
+                (WaitReason::Engine, engine_wait)
             } else {
-                (what, span)
+                (reason, span)
             };
-            Some(Wait { id, what, span })
+            Some(WaitForecast { id, reason, span })
         })
         .collect()
     }
 
-    /// Whether there are engines, and all of them leave.
-    fn all_leave(&self) -> bool {
-        let leaves =
-            |engine: &Engine| !engine.backend.ready || matches!(engine.leaving, Leaving::Closed(_));
-        !self.engines.is_empty() && self.engines.values().all(leaves)
+    /// Returns whether there are engines and all of them shut down.
+    fn all_leaving(&self) -> bool {
+        let is_leaving = |engine: &Engine| {
+            !engine.backend.ready || matches!(engine.leaving, Leaving::Excluded(_))
+        };
+        !self.engines.is_empty() && self.engines.values().all(is_leaving)
     }
 
-    /// Whether all engines turn requests away, and so are ordered no loads.
-    fn all_turn_away(&self) -> bool {
-        let usable = self.engines.values().filter(|engine| engine.usable());
-        let turns_away = usable.map(|engine| engine.cooldown.turns_away());
-        turns_away.reduce(|all, one| all && one).unwrap_or(false)
+    /// Returns whether all engines reject requests, so that no loads are ordered.
+    fn all_rejecting(&self) -> bool {
+        let usable = self.engines.values().filter(|engine| engine.is_usable());
+        let rejecting = usable.map(|engine| engine.cooldown.is_rejecting());
+        rejecting.reduce(|all, one| all && one).unwrap_or(false)
     }
 
-    /// What the engines may be sent, where all of them name limits.
-    fn limited(&self, now: Instant) -> Option<Limited> {
-        let mut limited = None;
-        for engine in self.engines.values().filter(|engine| engine.usable()) {
+    /// Returns the rate limits of all engines together; `None` if any of them has no limit.
+    fn rate_limit(&self, now: Instant) -> Option<RateLimitBudget> {
+        let mut rate_limit = None;
+        for engine in self.engines.values().filter(|engine| engine.is_usable()) {
             let rate_limiter = engine.rate_limiter.as_ref()?;
-            let sum: &mut Limited = limited.get_or_insert(Limited {
-                left: 0.0,
+            let sum: &mut RateLimitBudget = rate_limit.get_or_insert(RateLimitBudget {
+                available: 0.0,
                 rate: 0.0,
             });
-            sum.left += rate_limiter.available(now);
+            sum.available += rate_limiter.available(now);
             sum.rate += rate_limiter.rate();
         }
-        limited
+        rate_limit
     }
 
-    /// How long each engine wants nothing of a VM, the shortest first.
-    fn rest_ends(&self, now: Instant, vm: &Vm) -> Vec<Span> {
-        let usable = self.engines.values().filter(|engine| engine.usable());
-        let ends = usable.map(|engine| engine.cooldown.ends(vm).since(now));
+    /// Returns the time until each engine's cooldown for a VM ends, shortest first.
+    fn cooldown_ends(&self, now: Instant, vm: &Vm) -> Vec<Span> {
+        let usable = self.engines.values().filter(|engine| engine.is_usable());
+        let ends = usable.map(|engine| engine.cooldown.ends_at(vm).since(now));
         let mut ends: Vec<Span> = ends.collect();
         ends.sort_unstable();
         ends
     }
 
-    fn wait_of(
+    /// Returns what a request waits for and for how long, apart from rate limits and cooldowns. Adds its prompt
+    /// and its load to `ahead`.
+    fn forecast_request(
         &self,
         now: Instant,
-        id: &JobId,
-        job: &Job,
-        spread: &Spread,
-        ahead: &mut Ahead,
-    ) -> (For, Span) {
-        let Some(key) = job.key else {
-            let backlogs = self.engines.values().filter(|engine| engine.usable());
+        id: &VmRequestId,
+        request: &ScheduledRequest,
+        residency: &Residency,
+        ahead: &mut QueueAhead,
+    ) -> (WaitReason, Span) {
+        let Some(adapter) = request.adapter else {
+            let backlogs = self.engines.values().filter(|engine| engine.is_usable());
             let least = backlogs.map(|engine| engine.backlog(now)).min();
-            return (For::Room, least.unwrap_or(Span::ZERO));
+            return (WaitReason::Room, least.unwrap_or(Span::ZERO));
         };
-        let holders = self.holders(job, key, spread);
-        let open = |engine: &&Engine| engine.cooldown.allows(now, &id.vm);
-        let holders: Vec<&Engine> = holders.filter(open).collect();
-        let least = holders.iter().map(|engine| engine.reads(job)).min();
-        let reads = least.unwrap_or(job.work.prompt_tokens);
-        let first = !ahead.tokens.contains_key(&key);
-        let tokens = ahead.tokens.entry(key).or_default();
-        let before = std::mem::replace(tokens, *tokens + u64::from(reads));
-        if !holders.is_empty() {
-            let least = holders.iter().map(|engine| engine.backlog(now)).min();
-            let rate: f64 = holders.iter().map(|engine| engine.rate).sum();
-            let queued = self.shortened(reading(before, rate), holders.len());
-            let what = match spread.spot(key) {
-                Some(spot) if spot.moving => For::Copy,
-                Some(_) | None => For::Room,
+        let engines = self.ready_engines(request, adapter, residency);
+        let allowed = |engine: &&Engine| engine.cooldown.allows(now, &id.vm);
+        let engines: Vec<&Engine> = engines.filter(allowed).collect();
+        let fewest = engines
+            .iter()
+            .map(|engine| engine.tokens_to_read(request))
+            .min();
+        let unread = fewest.unwrap_or(request.work.prompt_tokens);
+        let is_first = !ahead.tokens.contains_key(&adapter);
+        let tokens = ahead.tokens.entry(adapter).or_default();
+        let tokens_before = std::mem::replace(tokens, *tokens + u64::from(unread));
+        if !engines.is_empty() {
+            let least = engines.iter().map(|engine| engine.backlog(now)).min();
+            let rate: f64 = engines.iter().map(|engine| engine.prefill_rate).sum();
+            let queue_wait =
+                self.with_one_more_copy(prefill_time(tokens_before, rate), engines.len());
+            let reason = match residency.get(adapter) {
+                Some(location) if location.is_loading => WaitReason::Copy,
+                Some(_) | None => WaitReason::Room,
             };
-            return (what, least.unwrap_or(Span::ZERO) + queued);
+            return (reason, least.unwrap_or(Span::ZERO) + queue_wait);
         }
-        let queued = self.shortened(reading(before, ahead.slowest), 1);
-        if let Some(at) = spread.spot(key).and_then(|spot| spot.coming) {
-            return (For::Coming, at.since(now) + queued);
+        let queue_wait =
+            self.with_one_more_copy(prefill_time(tokens_before, ahead.slowest_rate), 1);
+        if let Some(at) = residency
+            .get(adapter)
+            .and_then(|location| location.next_ready_at)
+        {
+            return (WaitReason::Coming, at.since(now) + queue_wait);
         }
-        if self.lies_beside_any(now, key) {
-            return (For::Load, ROOM_SOON + self.back_time() + queued);
+        if self.has_local_copy(now, adapter) {
+            return (
+                WaitReason::Load,
+                SLOT_WAIT + self.local_load_time() + queue_wait,
+            );
         }
-        ahead.loads += usize::from(first);
+        ahead.loads += usize::from(is_first);
         (
-            For::Load,
-            self.load_wait(ahead.loading + ahead.loads) + queued,
+            WaitReason::Load,
+            self.load_queue_wait(ahead.store_loads + ahead.loads) + queue_wait,
         )
     }
 
-    /// A queue at so many engines, shortened by one more copy of the adapter that takes part after a load's time.
+    /// Returns the wait for a queue at `engines` engines that is shortened by one more copy of the adapter,
+    /// which serves its share once a load's time has passed.
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss
     )]
-    fn shortened(&self, queued: Span, engines: usize) -> Span {
-        let beyond = queued - self.load_time;
+    fn with_one_more_copy(&self, queue_wait: Span, engines: usize) -> Span {
+        let excess = queue_wait - self.load_time;
         let share = engines as f64 / (engines + 1) as f64;
-        queued.min(self.load_time) + Span((beyond.0 as f64 * share) as u64)
+        queue_wait.min(self.load_time) + Span((excess.0 as f64 * share) as u64)
     }
 
-    /// The engines that can run a request, as far as its adapter goes.
-    fn holders<'a>(
+    /// Returns the engines where a request's adapter is ready, without those that failed the request or are
+    /// deprioritized.
+    fn ready_engines<'a>(
         &'a self,
-        job: &'a Job,
-        key: Key,
-        spread: &'a Spread,
+        request: &'a ScheduledRequest,
+        adapter: AdapterId,
+        residency: &'a Residency,
     ) -> impl Iterator<Item = &'a Engine> {
-        let ready = spread.ready(key).iter();
-        let fit = ready.filter(|server| !job.failed.contains(server));
-        let engines = fit.filter_map(|server| self.engines.get(server));
-        engines.filter(|engine| !engine.last)
+        let ready = residency.ready_servers(adapter).iter();
+        let eligible = ready.filter(|server| !request.failed.contains(server));
+        let engines = eligible.filter_map(|server| self.engines.get(server));
+        engines.filter(|engine| !engine.deprioritized)
     }
 
-    /// How long the load at this place in the queue takes, those that are under way counted.
-    fn load_wait(&self, place: usize) -> Span {
-        let rounds = place.div_ceil(self.loads_at_once()).max(1);
+    /// Returns how long the load at this position of the queue takes, where the loads in progress count as the
+    /// first positions.
+    fn load_queue_wait(&self, position: usize) -> Span {
+        let rounds = position.div_ceil(self.max_concurrent_loads()).max(1);
         self.load_time.times(rounds as u64)
     }
 }
 
-/// The time that it takes to read tokens at a rate in tokens a millisecond.
+/// Returns the time to read `tokens` prompt tokens at `rate` tokens per millisecond.
 #[allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss
 )]
-pub(crate) fn reading(tokens: u64, rate: f64) -> Span {
+pub(crate) fn prefill_time(tokens: u64, rate: f64) -> Span {
     Span((tokens as f64 / rate.max(f64::MIN_POSITIVE) * 1_000.0) as u64)
 }
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -1,4 +1,4 @@
-//! What reaches the schedulers that run on this VM.
+//! Passes entries, messages and outcomes to the schedulers that run on this VM.
 
 use std::sync::Arc;
 
@@ -11,27 +11,27 @@
 use crate::node::Gateway;
 
 impl Gateway {
-    /// A server is listed or describes itself anew.
+    /// Passes a server's entry to the scheduler of its service.
     pub(crate) fn update_scheduler_server(&mut self, server: &Server, backend: &Arc<Backend>) {
         let Some(scheduler) = self.schedulers.get_mut(&backend.service) else {
             return;
         };
-        let known = scheduler.engines.contains_key(server);
+        let is_known = scheduler.engines.contains_key(server);
         scheduler.update_server(server, backend);
-        if !known {
+        if !is_known {
             self.notices
                 .inform_scheduler(self.now, &self.settings.vm, scheduler, server);
         }
     }
 
-    /// A server is gone.
+    /// Removes a server from the scheduler of its service.
     pub(crate) fn remove_scheduler_server(&mut self, server: &Server, service: &Service) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
-            scheduler.server_gone(server);
+            scheduler.remove_server(server);
         }
     }
 
-    /// A newer version of an adapter is named.
+    /// Passes a newly published version of an adapter to all schedulers.
     pub(crate) fn update_adapter_version(
         &mut self,
         model: &Arc<str>,
@@ -43,27 +43,27 @@
         }
     }
 
-    /// A VM is gone.
+    /// Removes a VM that is gone from all schedulers.
     pub(crate) fn remove_scheduler_vm(&mut self, vm: &Vm) {
         for scheduler in self.schedulers.values_mut() {
-            scheduler.vm_gone(vm);
+            scheduler.remove_vm(vm);
         }
     }
 
-    /// A VM wants a place for a request. Where this VM does not schedule the service, the VM that asks will hear of
-    /// the one that does, and ask there.
+    /// Handles a VM's request for a placement. If this VM does not schedule the service, nothing is answered:
+    /// the sender will learn which VM does, and repeat its request there.
     pub(crate) fn handle_placement_request(
         &mut self,
         service: &Service,
         from: &Vm,
-        want: PlacementRequest,
+        placement: PlacementRequest,
     ) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
-            scheduler.enqueue(self.now, from, want);
+            scheduler.enqueue(self.now, from, placement);
         }
     }
 
-    /// A VM says how a request goes.
+    /// Handles a VM's report on the progress of a request.
     pub(crate) fn handle_progress(
         &mut self,
         service: &Service,
@@ -76,20 +76,20 @@
         }
     }
 
-    /// A VM says all that runs and waits there.
+    /// Handles a VM's list of all of its running and waiting requests.
     pub(crate) fn handle_resync(
         &mut self,
         service: &Service,
         from: &Vm,
         running: &[Running],
-        wants: Vec<PlacementRequest>,
+        waiting: Vec<PlacementRequest>,
     ) {
         if let Some(scheduler) = self.schedulers.get_mut(service) {
-            scheduler.resync_vm(self.now, from, running, wants);
+            scheduler.resync_vm(self.now, from, running, waiting);
         }
     }
 
-    /// An order came back.
+    /// Handles the outcome of an order.
     pub(crate) fn handle_order_outcome(
         &mut self,
         order: OrderId,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A server's report came, or it gave none.
+    /// Handles a server's report; `None` if the server did not answer.
     pub(crate) fn handle_report(&mut self, server: &Server, report: Option<&Report>) {
         let Some(service) = self.service_of(server) else {
             return;
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -1,4 +1,4 @@
-//! Which adapter is loaded where, and which one makes room.
+//! Plans which adapter is loaded at which engine, and which adapter is evicted for it.
 
 use std::sync::Arc;
 
@@ -7,424 +7,529 @@
 use dahliastile_core::time::{Instant, Span};
 use rustc_hash::FxHashMap;
 
-use super::capacity::{Floor, Room, Rooms, busy_for};
-use super::engine::{Engine, Intent, Place, Stage, place};
-use super::forecast::{For, Wait};
-use super::key::Key;
-use super::reservations::Claims;
-use super::residency::{Spot, Spread};
+use super::adapter::AdapterId;
+use super::capacity::{CandidatesByModel, LoadCandidate, LoadCandidates, reserved_backlog};
+use super::engine::{AdapterSlot, AdapterState, Engine, Intent, unused_slot};
+use super::forecast::{WaitForecast, WaitReason};
+use super::reservations::Reservations;
+use super::residency::{AdapterResidency, Residency};
 use super::{Decision, Scheduler};
 use crate::feature::Feature;
 
-/// The cost of taking away an adapter that one request asked for a moment ago, as a time: its next request waits for
-/// a load.
-const VICTIM: Span = Span::from_millis(150);
+/// Cost of evicting an adapter with a demand of one request, as a waiting time: its next request waits for a
+/// load.
+const EVICTION_COST: Span = Span::from_millis(150);
 
-/// The part of a load's time that an adapter takes that lies beside its engine: the engines' own figure.
-const BACK_PART: u64 = 10;
+/// How many times faster an adapter loads from a local copy than from the weight store, as the engines specify.
+const LOCAL_LOAD_SPEEDUP: u64 = 10;
 
-/// What a load from the weight store costs besides its time, as a time: it takes from what all engines share.
-const FETCH: Span = Span::from_millis(400);
+/// Additional cost of a load from the weight store, as a waiting time, for the bandwidth that all engines
+/// share.
+const WEIGHT_STORE_COST: Span = Span::from_millis(400);
 
-/// The time until an engine all of whose places are in use has room: eight places that are used for a second each.
-pub(crate) const ROOM_SOON: Span = Span::from_millis(120);
+/// Expected time until an engine whose slots are all in use has a free one: eight slots, each in use for a
+/// second.
+pub(crate) const SLOT_WAIT: Span = Span::from_millis(120);
 
-/// How long after its arrival a request may wait for room at an engine beside which its adapter lies, though another engine
-/// has room. 300 ms would leave time for a load from the weight store within the objective, but room mostly comes sooner.
-const PATIENT: Span = Span::from_millis(600);
+/// How long after its arrival a request may wait for a slot at an engine with a local copy of its adapter, although
+/// another engine has a free slot. A limit of 300 ms would always leave time for a load from the weight store within
+/// the objective, but a slot mostly becomes free long before this limit.
+const MAX_LOCAL_COPY_WAIT: Span = Span::from_millis(600);
 
-/// The wait for an adapter's engines from which a further copy is worth a load: with it the first event still comes
-/// within the objective.
-const COPY_FROM: Span = Span::from_millis(350);
+/// Shortest wait for the engines that hold an adapter from which one more copy is worth a load: with the copy,
+/// the first chunk still comes within the objective.
+const MIN_WAIT_FOR_COPY: Span = Span::from_millis(350);
 
-/// The loads under way that the weight store bears however few engines there are: those of the smallest deployments.
-const LEAST_LOADS: usize = 8;
+/// Concurrent loads that are allowed for any number of engines. The weight store of the smallest deployments
+/// supports this number.
+const MIN_CONCURRENT_LOADS: usize = 8;
 
-/// The demand for an adapter from which its new version is loaded before a request waits for it: one request in the last
-/// ten seconds.
-const IN_USE: f64 = 0.5;
+/// Demand from which a new version of an adapter is loaded before a request waits for it: one request in the
+/// last ten seconds.
+const MIN_DEMAND_IN_USE: f64 = 0.5;
 
-/// How much of the rate of the weight store is used for base models: a restart of the scheduler forgets what it began.
-const RATE_USED: f64 = 0.8;
+/// Share of the weight store's rate that base model loads use. It leaves a margin because a scheduler that
+/// starts does not know which loads its predecessor began.
+const BASE_LOAD_RATE_SHARE: f64 = 0.8;
 
-/// Loads of base models that may begin at once.
-const BURST: f64 = 2.0;
+/// Most base model loads that may start at once.
+const BASE_LOAD_BURST: f64 = 2.0;
 
-/// The rate of loads of base models from the weight store.
+/// A token bucket for loads of base models from the weight store.
 #[derive(Clone, Debug)]
-pub(crate) struct BaseRate {
-    /// Loads a second.
+pub(crate) struct BaseLoadBucket {
+    /// Loads per second.
     per_s: f64,
-    /// Loads that may begin now.
-    saved: f64,
-    /// When `saved` was computed.
+    /// Loads that may start, as of `at`.
+    available: f64,
+    /// When `available` was last computed.
     at: Instant,
 }
 
-impl BaseRate {
+impl BaseLoadBucket {
     pub(crate) fn new(now: Instant, per_s: f64) -> Self {
         Self {
-            per_s: per_s * RATE_USED,
-            saved: BURST,
+            per_s: per_s * BASE_LOAD_RATE_SHARE,
+            available: BASE_LOAD_BURST,
             at: now,
         }
     }
 
-    /// Takes one load, if one may begin.
-    pub(crate) fn take(&mut self, now: Instant) -> bool {
+    /// Takes a token for one load. Returns whether one was available.
+    pub(crate) fn try_take(&mut self, now: Instant) -> bool {
         let earned = now.since(self.at).as_secs_f64() * self.per_s;
-        self.saved = (self.saved + earned).min(BURST);
+        self.available = (self.available + earned).min(BASE_LOAD_BURST);
         self.at = now;
-        if self.saved < 1.0 {
+        if self.available < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
 
-/// Where an adapter could go.
-struct Choice {
-    /// The engine.
+/// An engine chosen for a load, with the load's cost.
+struct LoadChoice {
     server: Server,
-    /// The adapter that makes room.
-    victim: Option<Key>,
-    /// Where it lies beside the engine: how many others were held there since it was.
-    depth: Option<usize>,
-    /// The cost.
+    /// The adapter to evict; `None` if no eviction is needed.
+    victim: Option<AdapterId>,
+    /// If the engine likely has a local copy: how many other adapters it held since this one.
+    local_copy_distance: Option<usize>,
+    /// The time until the adapter can be used and its prompt read, and the cost of the eviction and of the
+    /// weight store.
     cost: Span,
 }
 
 /// An adapter that is to be loaded.
-struct Wanted {
-    /// The adapter.
-    key: Key,
-    /// Where it is there already, the longest wait for it.
-    copy: Option<Span>,
-    /// Until when it may wait for room at an engine beside which it lies.
-    patient: Instant,
+struct NeededLoad {
+    adapter: AdapterId,
+    /// If it is already resident elsewhere: the longest wait for it. A copy is loaded only if it costs less.
+    copy_wait: Option<Span>,
+    /// Until when it may wait for a slot at an engine with a local copy.
+    local_copy_until: Instant,
 }
 
-/// What a choice is made by.
-struct Look<'a> {
-    /// The time.
+/// The inputs for choosing an engine for a load.
+struct LoadContext<'a> {
     now: Instant,
-    /// What requests that wait claim.
-    claims: &'a Claims,
-    /// Where adapters are.
-    spread: &'a Spread,
-    /// Where there is room for an adapter of the same base model.
-    rooms: &'a Rooms,
+    /// What the waiting requests reserve.
+    reservations: &'a Reservations,
+    residency: &'a Residency,
+    /// The engines that could load an adapter of the same base model.
+    candidates: &'a LoadCandidates,
 }
 
-/// A load at an engine that has room, which takes so long.
-fn choice(server: &Server, room: &Room, depth: Option<usize>, load: Span) -> Choice {
-    Choice {
+/// Returns the choice of a candidate where the load takes `load`.
+fn load_choice(
+    server: &Server,
+    candidate: &LoadCandidate,
+    local_copy_distance: Option<usize>,
+    load: Span,
+) -> LoadChoice {
+    LoadChoice {
         server: server.clone(),
-        victim: room.victim,
-        depth,
-        cost: load + room.cost,
+        victim: candidate.victim,
+        local_copy_distance,
+        cost: load + candidate.cost,
     }
 }
 
 impl Scheduler {
-    /// Plans loads for the requests that wait for an adapter, in their order.
+    /// Plans loads for the adapters that requests wait for, in the order of the requests.
     pub(crate) fn plan_loads(
         &mut self,
         now: Instant,
-        waits: &[Wait],
-        mut spread: Spread,
+        forecasts: &[WaitForecast],
+        mut residency: Residency,
         out: &mut Vec<Decision>,
     ) {
-        self.plan_bases(now);
-        let mut wanted = self.wanted(waits, &spread);
-        let mut claims = self.claims(waits);
-        for outdated in self.outdated(now, &spread) {
-            claims.add(outdated.key, 0);
-            wanted.push(outdated);
+        self.plan_base_loads(now);
+        let mut needed = self.needed_loads(forecasts, &residency);
+        let mut reservations = self.reservations(forecasts);
+        for outdated in self.outdated_adapters(now, &residency) {
+            reservations.add(outdated.adapter, 0);
+            needed.push(outdated);
         }
-        let mut floor = Floor::default();
-        let mut room = self.loads_at_once().saturating_sub(self.loading());
-        for wanted in wanted {
-            let model = self.keys.name(wanted.key).model.clone();
-            self.look_for_rooms(now, &model, &claims, &spread, &mut floor);
-            let Some(rooms) = floor.of(&model) else {
+        let mut candidates_by_model = CandidatesByModel::default();
+        let mut free_loads = self
+            .max_concurrent_loads()
+            .saturating_sub(self.weight_store_loads());
+        for needed in needed {
+            let model = self.adapters.name(needed.adapter).model.clone();
+            self.find_candidates(
+                now,
+                &model,
+                &reservations,
+                &residency,
+                &mut candidates_by_model,
+            );
+            let Some(candidates) = candidates_by_model.for_model(&model) else {
                 continue;
             };
-            let look = Look {
+            let context = LoadContext {
                 now,
-                claims: &claims,
-                spread: &spread,
-                rooms,
+                reservations: &reservations,
+                residency: &residency,
+                candidates,
             };
-            let Some(choice) = self.choose(&look, &wanted, room > 0) else {
+            let Some(choice) = self.choose_engine(&context, &needed, free_loads > 0) else {
                 continue;
             };
-            if wanted.copy.is_none_or(|wait| choice.cost < wait) {
-                room -= usize::from(choice.depth.is_none());
-                self.load(now, wanted.key, &choice, out);
-                for key in choice.victim.into_iter().chain([wanted.key]) {
-                    self.look_at(now, key, &choice.server, &mut spread);
+            if needed.copy_wait.is_none_or(|wait| choice.cost < wait) {
+                free_loads -= usize::from(choice.local_copy_distance.is_none());
+                self.order_load(now, needed.adapter, &choice, out);
+                for adapter in choice.victim.into_iter().chain([needed.adapter]) {
+                    self.update_residency(now, adapter, &choice.server, &mut residency);
                 }
-                // What one copy of the adapter that made room is worth has changed at its other engines.
+                // The victim has one copy less, which changes the cost of evicting it from the other engines
+                // that hold it.
                 let others = choice
                     .victim
-                    .map_or(&[][..], |victim| spread.holders(victim));
+                    .map_or(&[][..], |victim| residency.servers(victim));
                 let changed: Vec<&Server> = others.iter().chain([&choice.server]).collect();
-                self.look_again(now, &changed, &claims, &spread, &mut floor);
+                self.update_candidates(
+                    now,
+                    &changed,
+                    &reservations,
+                    &residency,
+                    &mut candidates_by_model,
+                );
             }
         }
     }
 
-    /// The adapters that requests wait for and that are not on their way, in the order of the requests; with the longest
-    /// wait at the engines that hold it already, where it is long enough for a copy.
-    fn wanted(&self, waits: &[Wait], spread: &Spread) -> Vec<Wanted> {
-        let mut wanted: Vec<Wanted> = Vec::new();
+    /// Returns the adapters that requests wait for and that are not being loaded, in the order of the requests.
+    /// For an adapter that engines already hold, it contains the longest wait if that justifies one more copy.
+    fn needed_loads(&self, forecasts: &[WaitForecast], residency: &Residency) -> Vec<NeededLoad> {
+        let mut needed: Vec<NeededLoad> = Vec::new();
         let copies = self.settings.uses(Feature::ExtraReplicas);
-        let mut rows: FxHashMap<Key, usize> = FxHashMap::default();
-        for wait in waits {
-            let Some(job) = self.jobs.get(&wait.id).filter(|job| job.waits()) else {
+        let mut rows: FxHashMap<AdapterId, usize> = FxHashMap::default();
+        for forecast in forecasts {
+            let Some(request) = self
+                .requests
+                .get(&forecast.id)
+                .filter(|request| request.is_waiting())
+            else {
                 continue;
             };
-            let Some(key) = job.key else {
+            let Some(adapter) = request.adapter else {
                 continue;
             };
-            let copy = match wait.what {
-                For::Load => None,
-                For::Room if copies && wait.span > COPY_FROM => Some(wait.span),
-                For::Room | For::Copy | For::Coming | For::Engine => continue,
+            let copy_wait = match forecast.reason {
+                WaitReason::Load => None,
+                WaitReason::Room if copies && forecast.span > MIN_WAIT_FOR_COPY => {
+                    Some(forecast.span)
+                }
+                WaitReason::Room | WaitReason::Copy | WaitReason::Coming | WaitReason::Engine => {
+                    continue;
+                }
             };
-            match rows.get(&key) {
+            match rows.get(&adapter) {
                 Some(row) => {
-                    let longest = &mut wanted[*row].copy;
-                    *longest = copy.max(*longest);
+                    let longest = &mut needed[*row].copy_wait;
+                    *longest = copy_wait.max(*longest);
                 }
-                None if spread.spot(key).is_some_and(|spot| spot.moving) => {}
+                None if residency
+                    .get(adapter)
+                    .is_some_and(|location| location.is_loading) => {}
                 None => {
-                    rows.insert(key, wanted.len());
-                    wanted.push(Wanted {
-                        key,
-                        copy,
-                        patient: job.arrived + PATIENT,
+                    rows.insert(adapter, needed.len());
+                    needed.push(NeededLoad {
+                        adapter,
+                        copy_wait,
+                        local_copy_until: request.arrived + MAX_LOCAL_COPY_WAIT,
                     });
                 }
             }
         }
-        wanted
+        needed
     }
 
-    /// The adapters in use that engines hold only in a version that will soon do no more.
-    fn outdated(&self, now: Instant, spread: &Spread) -> Vec<Wanted> {
-        let old =
-            |(_, spot): &(&Key, &Spot)| !spot.current && !spot.moving && !spot.ready.is_empty();
-        let keys = spread.spots.iter().filter(old).map(|(key, _)| *key);
-        let mut keys: Vec<Key> = keys
-            .filter(|key| self.keys.demand(*key, now) >= IN_USE)
+    /// Returns the adapters in use that engines hold only in versions whose period of grace ends soon.
+    fn outdated_adapters(&self, now: Instant, residency: &Residency) -> Vec<NeededLoad> {
+        let is_outdated = |(_, location): &(&AdapterId, &AdapterResidency)| {
+            !location.has_newest && !location.is_loading && !location.ready_servers.is_empty()
+        };
+        let adapters = residency
+            .adapters
+            .iter()
+            .filter(is_outdated)
+            .map(|(adapter, _)| *adapter);
+        let mut adapters: Vec<AdapterId> = adapters
+            .filter(|adapter| self.adapters.demand(*adapter, now) >= MIN_DEMAND_IN_USE)
             .collect();
-        keys.sort_unstable();
-        let wanted = |key| Wanted {
-            key,
-            copy: None,
-            patient: now,
+        adapters.sort_unstable();
+        let needed = |adapter| NeededLoad {
+            adapter,
+            copy_wait: None,
+            local_copy_until: now,
         };
-        keys.into_iter().map(wanted).collect()
+        adapters.into_iter().map(needed).collect()
     }
 
-    /// How many adapters may be on their way to all engines.
-    pub(crate) fn loads_at_once(&self) -> usize {
-        let hundredfold = self.engines.len() * self.settings.tuning.loads_per_hundred;
-        hundredfold.div_ceil(100).max(LEAST_LOADS)
+    /// Returns how many adapters may be loaded at once, over all engines.
+    pub(crate) fn max_concurrent_loads(&self) -> usize {
+        let per_hundred = self.engines.len() * self.settings.tuning.loads_per_hundred;
+        per_hundred.div_ceil(100).max(MIN_CONCURRENT_LOADS)
     }
 
-    /// Adapters on their way to all engines. What waits behind an order without an answer takes nothing from the
-    /// weight store.
-    pub(crate) fn loading(&self) -> usize {
-        let moving = self.engines.values().filter(|engine| !engine.stuck());
-        moving.map(Engine::fetching).sum()
+    /// Returns the number of loads from the weight store in progress, over all engines. Loads queued behind an
+    /// order without an answer are left out, since they take no bandwidth.
+    pub(crate) fn weight_store_loads(&self) -> usize {
+        let engines = self
+            .engines
+            .values()
+            .filter(|engine| !engine.is_retrying_order());
+        engines.map(Engine::weight_store_loads).sum()
     }
 
-    /// The time that an adapter takes that lies beside its engine.
-    pub(crate) fn back_time(&self) -> Span {
-        Span(self.load_time.0 / BACK_PART)
+    /// Returns the time to load an adapter from a local copy.
+    pub(crate) fn local_load_time(&self) -> Span {
+        Span(self.load_time.0 / LOCAL_LOAD_SPEEDUP)
     }
 
-    /// Where an adapter lies beside an engine, how many others were held there since it was.
-    pub(crate) fn lies_beside(&self, engine: &Engine, key: Key) -> Option<usize> {
-        let used = self.settings.uses(Feature::CachedAdapters);
-        let depth = engine.recent.depth(key).filter(|_| used);
-        depth.filter(|depth| self.beside.holds(*depth))
+    /// Returns how many other adapters an engine held since it last held this one, if it likely still has a
+    /// local copy of it.
+    pub(crate) fn local_copy_distance(&self, engine: &Engine, adapter: AdapterId) -> Option<usize> {
+        let enabled = self.settings.uses(Feature::CachedAdapters);
+        let distance = engine
+            .recent_adapters
+            .reuse_distance(adapter)
+            .filter(|_| enabled);
+        distance.filter(|distance| self.local_copies.likely_holds(*distance))
     }
 
-    /// Whether an adapter lies beside any engine that takes requests.
-    pub(crate) fn lies_beside_any(&self, now: Instant, key: Key) -> bool {
-        let servers = self.remembering.servers(key).iter();
+    /// Returns whether any engine that accepts requests likely has a local copy of an adapter.
+    pub(crate) fn has_local_copy(&self, now: Instant, adapter: AdapterId) -> bool {
+        let servers = self.recent_engines.servers(adapter).iter();
         let engines = servers.filter_map(|server| self.engines.get(server));
-        let open = |engine: &&Engine| {
-            engine.usable() && engine.may_get(1, now) && !engine.cooldown.turns_away()
+        let is_open = |engine: &&Engine| {
+            engine.is_usable()
+                && engine.is_within_rate_limit(1, now)
+                && !engine.cooldown.is_rejecting()
         };
-        let mut open = engines.filter(open);
-        open.any(|engine| self.lies_beside(engine, key).is_some())
+        let mut open = engines.filter(is_open);
+        open.any(|engine| self.local_copy_distance(engine, adapter).is_some())
     }
 
-    /// The engine where an adapter is loaded at the least cost; none where there is no room, or where it is better to wait
-    /// for room at an engine beside which it lies. From the weight store it comes only where that bears it.
-    fn choose(&self, look: &Look, wanted: &Wanted, store: bool) -> Option<Choice> {
-        let key = wanted.key;
-        let mut later = Span(u64::MAX);
-        let mut best = self.replaced(look, key, store);
-        let mut offer = |choice: Choice| {
-            let order = |choice: &Choice| (choice.cost, choice.server.clone());
+    /// Returns the engine where loading an adapter costs least. Returns `None` if no engine can load it, or if
+    /// waiting for a slot at an engine with a local copy costs less. `from_store` is whether the weight store
+    /// allows one more load.
+    fn choose_engine(
+        &self,
+        context: &LoadContext,
+        needed: &NeededLoad,
+        from_store: bool,
+    ) -> Option<LoadChoice> {
+        let adapter = needed.adapter;
+        let mut wait_cost = Span(u64::MAX);
+        let mut best = self.replace_old_version(context, adapter, from_store);
+        let mut offer = |choice: LoadChoice| {
+            let sort_key = |choice: &LoadChoice| (choice.cost, choice.server.clone());
             if best
                 .as_ref()
-                .is_none_or(|best| order(&choice) < order(best))
+                .is_none_or(|best| sort_key(&choice) < sort_key(best))
             {
                 best = Some(choice);
             }
         };
-        for (server, engine, depth) in self.beside_engines(look, key) {
-            let load = self.back_time();
-            if let Some(room) = look.rooms.at(server) {
-                offer(choice(server, room, Some(depth), load));
+        for (server, engine, distance) in self.engines_with_local_copy(context, adapter) {
+            let load = self.local_load_time();
+            if let Some(candidate) = context.candidates.at(server) {
+                offer(load_choice(server, candidate, Some(distance), load));
             } else {
-                let busy = busy_for(look.now, engine, look.claims, None, look.spread);
-                later = later.min(load + busy + ROOM_SOON);
+                let backlog = reserved_backlog(
+                    context.now,
+                    engine,
+                    context.reservations,
+                    None,
+                    context.residency,
+                );
+                wait_cost = wait_cost.min(load + backlog + SLOT_WAIT);
             }
         }
-        if store {
-            let elsewhere = |server: &Server| {
+        if from_store {
+            let has_no_copy = |server: &Server| {
                 let engine = self.engines.get(server);
                 engine.is_some_and(|e| {
-                    !e.places.contains_key(&key) && self.lies_beside(e, key).is_none()
+                    !e.slots.contains_key(&adapter)
+                        && self.local_copy_distance(e, adapter).is_none()
                 })
             };
-            let first = look.rooms.cheapest().find(|(server, _)| elsewhere(server));
-            if let Some((server, room)) = first {
-                offer(choice(server, room, None, self.load_time + FETCH));
+            let cheapest = context
+                .candidates
+                .cheapest()
+                .find(|(server, _)| has_no_copy(server));
+            if let Some((server, candidate)) = cheapest {
+                offer(load_choice(
+                    server,
+                    candidate,
+                    None,
+                    self.load_time + WEIGHT_STORE_COST,
+                ));
             }
         }
-        let patient = self.settings.uses(Feature::CachedAdapterWait) && look.now < wanted.patient;
-        best.filter(|best| !patient || best.cost <= later)
+        let may_wait =
+            self.settings.uses(Feature::CachedAdapterWait) && context.now < needed.local_copy_until;
+        best.filter(|best| !may_wait || best.cost <= wait_cost)
     }
 
-    /// The engines beside which an adapter lies and that don't hold it, as far as they take orders, with its depth there.
-    fn beside_engines<'a>(
+    /// Returns the engines with a local copy of an adapter that do not hold it and accept loads, with its reuse
+    /// distance there.
+    fn engines_with_local_copy<'a>(
         &'a self,
-        look: &'a Look<'_>,
-        key: Key,
+        context: &'a LoadContext<'_>,
+        adapter: AdapterId,
     ) -> impl Iterator<Item = (&'a Server, &'a Engine, usize)> {
-        let model = &self.keys.name(key).model;
-        let holders = look.spread.holders(key);
-        let servers = self.remembering.servers(key).iter();
-        let servers = servers.filter(|server| !holders.contains(server));
+        let model = &self.adapters.name(adapter).model;
+        let holding = context.residency.servers(adapter);
+        let servers = self.recent_engines.servers(adapter).iter();
+        let servers = servers.filter(|server| !holding.contains(server));
         let engines = servers.filter_map(|server| Some((server, self.engines.get(server)?)));
-        let fit = engines.filter(|(_, engine)| self.takes_adapters(look.now, engine, model));
-        fit.filter_map(move |(server, engine)| {
-            Some((server, engine, self.lies_beside(engine, key)?))
+        let accepting =
+            engines.filter(|(_, engine)| self.accepts_loads(context.now, engine, model));
+        accepting.filter_map(move |(server, engine)| {
+            Some((server, engine, self.local_copy_distance(engine, adapter)?))
         })
     }
 
-    /// The engine that holds an older version of an adapter which nothing uses, where it is replaced at the least cost.
-    fn replaced(&self, look: &Look, key: Key, store: bool) -> Option<Choice> {
-        let name = self.keys.name(key);
-        let newest = self.keys.newest(key);
-        let choices = look.spread.holders(key).iter().filter_map(|server| {
-            let engine = self.engines.get(server)?;
-            let old = engine.places.get(&key)?;
-            if !old.idle()
-                || old.version >= newest
-                || !self.takes_adapters(look.now, engine, &name.model)
-            {
-                return None;
-            }
-            let depth = self.lies_beside(engine, key);
-            let load = match depth {
-                Some(_) => self.back_time(),
-                None if store => self.load_time + FETCH,
-                None => return None,
-            };
-            let busy = busy_for(look.now, engine, look.claims, Some(key), look.spread);
-            Some(Choice {
-                server: server.clone(),
-                victim: None,
-                depth,
-                cost: load + busy,
-            })
-        });
+    /// Returns the engine with an older, idle version of an adapter where replacing it costs least.
+    fn replace_old_version(
+        &self,
+        context: &LoadContext,
+        adapter: AdapterId,
+        from_store: bool,
+    ) -> Option<LoadChoice> {
+        let name = self.adapters.name(adapter);
+        let newest = self.adapters.newest(adapter);
+        let choices = context
+            .residency
+            .servers(adapter)
+            .iter()
+            .filter_map(|server| {
+                let engine = self.engines.get(server)?;
+                let old = engine.slots.get(&adapter)?;
+                if !old.is_idle()
+                    || old.version >= newest
+                    || !self.accepts_loads(context.now, engine, &name.model)
+                {
+                    return None;
+                }
+                let local_copy_distance = self.local_copy_distance(engine, adapter);
+                let load = match local_copy_distance {
+                    Some(_) => self.local_load_time(),
+                    None if from_store => self.load_time + WEIGHT_STORE_COST,
+                    None => return None,
+                };
+                let backlog = reserved_backlog(
+                    context.now,
+                    engine,
+                    context.reservations,
+                    Some(adapter),
+                    context.residency,
+                );
+                Some(LoadChoice {
+                    server: server.clone(),
+                    victim: None,
+                    local_copy_distance,
+                    cost: load + backlog,
+                })
+            });
         choices.min_by_key(|choice| choice.cost)
     }
 
-    /// What it costs to take an adapter away from one engine.
+    /// Returns the cost of evicting an adapter from one engine, as a waiting time.
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss
     )]
-    pub(crate) fn value(&self, now: Instant, key: Key, spread: &Spread) -> Span {
-        let (copies, current) = spread
-            .spot(key)
-            .map_or((1, true), |spot: &Spot| (spot.copies.max(1), spot.current));
-        if !current {
+    pub(crate) fn eviction_cost(
+        &self,
+        now: Instant,
+        adapter: AdapterId,
+        residency: &Residency,
+    ) -> Span {
+        let (copies, has_newest) = residency
+            .get(adapter)
+            .map_or((1, true), |location: &AdapterResidency| {
+                (location.ready_copies.max(1), location.has_newest)
+            });
+        if !has_newest {
             return Span::ZERO;
         }
-        Span((VICTIM.0 as f64 * self.keys.demand(key, now) / f64::from(copies)) as u64)
+        Span(
+            (EVICTION_COST.0 as f64 * self.adapters.demand(adapter, now) / f64::from(copies))
+                as u64,
+        )
     }
 
-    fn load(&mut self, now: Instant, key: Key, choice: &Choice, out: &mut Vec<Decision>) {
-        let version = self.keys.newest(key);
-        let demand = self.keys.demand(key, now);
-        // A VM without a scheduler may have sent requests there by itself.
-        let used = self.jobs.using(&choice.server, key);
-        let keys = &self.keys;
+    /// Queues the orders of a load at the chosen engine, and updates the state of its adapters.
+    fn order_load(
+        &mut self,
+        now: Instant,
+        adapter: AdapterId,
+        choice: &LoadChoice,
+        out: &mut Vec<Decision>,
+    ) {
+        let version = self.adapters.newest(adapter);
+        let demand = self.adapters.demand(adapter, now);
+        // A VM that was without a scheduler may have sent requests there itself.
+        let running = self.requests.count_using(&choice.server, adapter);
+        let adapters = &self.adapters;
         let Some(engine) = self.engines.get_mut(&choice.server) else {
             return;
         };
         let victim = choice
             .victim
-            .map_or("-", |victim| &keys.name(victim).adapter);
+            .map_or("-", |victim| &adapters.name(victim).adapter);
         let detail = format!(
             "adapter={} version={version} server={} victim={victim} demand={demand:.2} depth={:?} cost={}",
-            keys.name(key).adapter,
+            adapters.name(adapter).adapter,
             choice.server,
-            choice.depth,
+            choice.local_copy_distance,
             choice.cost
         );
         out.push(Decision::Log(Record::new(Code::LoadOrdered, detail)));
         if let Some(victim) = choice.victim {
-            if let Some(place) = engine.places.get_mut(&victim) {
-                place.stage = Stage::Leaving;
+            if let Some(slot) = engine.slots.get_mut(&victim) {
+                slot.state = AdapterState::UnloadPlanned;
             }
-            engine.queue.push_back(Intent::Unload(victim));
+            engine.order_queue.push_back(Intent::Unload(victim));
         }
-        engine.places.insert(
-            key,
-            Place {
-                used,
-                depth: choice.depth,
-                ..place(version, Stage::Wanted)
+        engine.slots.insert(
+            adapter,
+            AdapterSlot {
+                running,
+                local_copy_distance: choice.local_copy_distance,
+                ..unused_slot(version, AdapterState::LoadPlanned)
             },
         );
         engine
-            .queue
-            .push_back(Intent::Load(key, Some(version).filter(|v| *v > 0)));
+            .order_queue
+            .push_back(Intent::Load(adapter, Some(version).filter(|v| *v > 0)));
     }
 
-    /// Plans loads of base models onto engines that hold none: of the one that fewest engines hold.
-    fn plan_bases(&mut self, now: Instant) {
-        if !self.engines.values().any(Engine::awaits_base) {
+    /// Plans loads of base models at the engines that hold none, each time of the base model that the fewest
+    /// engines hold.
+    fn plan_base_loads(&mut self, now: Instant) {
+        if !self.engines.values().any(Engine::needs_base_model) {
             return;
         }
-        let held = |name: &Arc<str>| {
+        let engine_count = |name: &Arc<str>| {
             let engines = self.engines.values();
-            engines.filter(|e| e.bases.contains(name)).count()
+            engines.filter(|e| e.base_models.contains(name)).count()
         };
-        let models = self.shape.models.iter();
-        let Some(model) = models.min_by_key(|m| (held(&m.name), m.name.clone())) else {
+        let models = self.engine_spec.models.iter();
+        let Some(model) = models.min_by_key(|m| (engine_count(&m.name), m.name.clone())) else {
             return;
         };
         for engine in self.engines.values_mut() {
-            if engine.awaits_base() && self.base_rate.take(now) {
-                engine.base_due = Some(now + model.load);
-                engine.queue.push_back(Intent::Base(model.name.clone()));
+            if engine.needs_base_model() && self.base_load_bucket.try_take(now) {
+                engine.base_load_due = Some(now + model.load);
+                engine
+                    .order_queue
+                    .push_back(Intent::Base(model.name.clone()));
             }
         }
     }
