--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -69,9 +69,9 @@
 /// slowest network link.
 const RESIDENTS_INTERVAL_PER_VM: Span = Span::from_millis(40);
 
-/// Most engines in one message about resident adapters. With more engines, each message continues after the
-/// last engine of the one before. A slow rotation costs little, since a VM also records the placements of its
-/// own requests.
+/// Maximum number of engines in one message about resident adapters. With more engines, each message continues
+/// after the last engine of the one before. A slow rotation costs little, since a VM also records the placements
+/// of its own requests.
 const MAX_RESIDENTS_ROWS: usize = 64;
 
 /// Interval between two log lines with the scheduler's state.
--- a/crates/gateway/src/scheduler/adapter.rs
+++ b/crates/gateway/src/scheduler/adapter.rs
@@ -36,18 +36,18 @@
     demand: Demand,
     /// The newest published version; 0 if none was published.
     newest: Version,
-    /// The lowest version that requests may use; 0 if they may use any.
+    /// The lowest version that requests may use, apart from `recent_versions`; 0 if they may use any.
     min_version: Version,
-    /// Versions published less than [`OLD_VERSION_GRACE`] ago, oldest first. Requests may still use the version
-    /// before them.
+    /// Recently published versions with their times, oldest first. Requests may use older versions until
+    /// [`OLD_VERSION_GRACE`] after that time.
     recent_versions: VecDeque<(Version, Instant)>,
 }
 
 /// All adapters that were ever requested, held by an engine or published in a version.
 #[derive(Debug, Default)]
 pub(crate) struct AdapterTable {
-    /// The entries, by id.
-    rows: Vec<AdapterEntry>,
+    /// Indexed by [`AdapterId`].
+    entries: Vec<AdapterEntry>,
     ids: FxHashMap<AdapterName, AdapterId>,
 }
 
@@ -61,9 +61,9 @@
         if let Some(id) = self.ids.get(&name) {
             return *id;
         }
-        let id = AdapterId(u32::try_from(self.rows.len()).unwrap_or(u32::MAX));
+        let id = AdapterId(u32::try_from(self.entries.len()).unwrap_or(u32::MAX));
         self.ids.insert(name.clone(), id);
-        self.rows.push(AdapterEntry {
+        self.entries.push(AdapterEntry {
             name,
             demand: Demand::default(),
             newest: 0,
@@ -100,7 +100,7 @@
         version: Version,
         at: Option<Instant>,
     ) {
-        let entry = &mut self.rows[adapter.0 as usize];
+        let entry = &mut self.entries[adapter.0 as usize];
         if version <= entry.newest {
             return;
         }
@@ -122,7 +122,7 @@
 
     /// Records a request for an adapter.
     pub(crate) fn record_request(&mut self, adapter: AdapterId, now: Instant) {
-        self.rows[adapter.0 as usize].demand.add(now);
+        self.entries[adapter.0 as usize].demand.add(now);
     }
 
     /// Returns the decayed number of requests for an adapter.
@@ -131,6 +131,6 @@
     }
 
     fn entry(&self, adapter: AdapterId) -> &AdapterEntry {
-        &self.rows[adapter.0 as usize]
+        &self.entries[adapter.0 as usize]
     }
 }
--- a/crates/gateway/src/scheduler/adapter_cache.rs
+++ b/crates/gateway/src/scheduler/adapter_cache.rs
@@ -9,7 +9,7 @@
 
 use super::adapter::AdapterId;
 
-/// Most adapters tracked for one engine.
+/// Maximum number of adapters tracked for one engine.
 const MAX_RECENT: usize = 128;
 
 /// The adapters that one engine held, in the order of their last load or use there.
@@ -113,8 +113,8 @@
 
     /// Raises the estimate after a load that was as fast as one from a local copy.
     pub(crate) fn record_fast_load(&mut self, distance: usize) {
-        let near = distance + distance / 4 >= self.count;
-        self.count = (self.count + usize::from(near)).min(MAX_RECENT);
+        let is_near = distance + distance / 4 >= self.count;
+        self.count = (self.count + usize::from(is_near)).min(MAX_RECENT);
     }
 
     /// Lowers the estimate after a load that was slower. The load may have been slow for another reason, so the
--- a/crates/gateway/src/scheduler/cooldown.rs
+++ b/crates/gateway/src/scheduler/cooldown.rs
@@ -13,7 +13,7 @@
 /// most as long as the cooldown that the engine asked for.
 const FIRST_PAUSE: Span = Span::from_millis(100);
 
-/// Most times that the pause is doubled.
+/// Maximum number of times that the pause is doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// Time within which the answer to a trial request must start, after which another trial is sent.
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// An order to an engine that is not sent yet.
+/// What an order asks of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Intent {
     /// Loads an adapter, at this version if one was published.
@@ -96,7 +96,7 @@
 pub(crate) enum Leaving {
     /// It has not announced a shutdown.
     No,
-    /// It announced a shutdown at this time, and is still used because no other engine is available.
+    /// It announced a shutdown at this time, and is used as long as no other engine is available.
     Draining(Instant),
     /// It announced a shutdown at this time, and is not used.
     Excluded(Instant),
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Updates its entry. Returns whether the entry names another incarnation than before. Entries may be
+    /// Updates the engine's entry. Returns whether the entry names another incarnation than before. Entries may be
     /// written late, so one of an earlier incarnation may follow one of a later; the engine's report shows
     /// which of them is current.
     pub(crate) fn update_backend(&mut self, backend: &Arc<Backend>) -> bool {
@@ -231,37 +231,37 @@
         self.order_attempts = 0;
     }
 
-    /// Returns whether it takes requests and orders.
+    /// Returns whether the engine takes requests and orders.
     pub(crate) fn is_usable(&self) -> bool {
         self.state_known && self.backend.ready && !matches!(self.leaving, Leaving::Excluded(_))
     }
 
-    /// Returns whether its rate limit allows `count` requests or orders now.
+    /// Returns whether the engine's rate limit allows `count` requests or orders now.
     pub(crate) fn is_within_rate_limit(&self, count: u32, now: Instant) -> bool {
         self.rate_limiter
             .as_ref()
             .is_none_or(|rate_limiter| rate_limiter.available(now) >= f64::from(count))
     }
 
-    /// Counts a request or an order against its rate limit. Returns whether the limit allowed it.
+    /// Counts a request or an order against the rate limit. Returns whether the limit allowed it.
     pub(crate) fn count_call(&mut self, now: Instant) -> bool {
         self.rate_limiter
             .as_mut()
             .is_none_or(|rate_limiter| rate_limiter.try_take(now))
     }
 
-    /// Returns whether it could load a base model, holds none and loads none.
+    /// Returns whether the engine could load a base model, holds none and loads none.
     pub(crate) fn needs_base_model(&self) -> bool {
         let has_none = self.base_models.is_empty() && self.base_load_due.is_none();
         self.is_usable() && has_none && self.order_queue.is_empty() && self.pending_order.is_none()
     }
 
-    /// Returns the estimated time until it has read all of its prompts and `tokens` more.
+    /// Returns the estimated time until the engine has read all of its prompts and `tokens` more.
     pub(crate) fn backlog_including(&self, now: Instant, tokens: u32) -> Span {
         self.backlog(now) + prefill_time(u64::from(tokens), self.prefill_rate)
     }
 
-    /// Returns the prompt tokens of a request that are not in its prefix cache.
+    /// Returns the prompt tokens of a request that are not in the engine's prefix cache.
     pub(crate) fn tokens_to_read(&self, request: &ScheduledRequest) -> u32 {
         let cached = request.adapter.map_or(0, |adapter| {
             self.prefix_cache
@@ -270,12 +270,12 @@
         request.work.prompt_tokens.saturating_sub(cached)
     }
 
-    /// Returns the estimated time until it has read all of its prompts.
+    /// Returns the estimated time until the engine has read all of its prompts.
     pub(crate) fn backlog(&self, now: Instant) -> Span {
         prefill_time(self.unread_tokens, self.prefill_rate) - now.since(self.prefill_since)
     }
 
-    /// Adds the prompt of a request that was sent to it, with the number of tokens to read.
+    /// Adds a prompt to the backlog, of which `tokens` have to be read.
     pub(crate) fn add_prefill(&mut self, now: Instant, tokens: u32) {
         if self.unread_tokens == 0 {
             self.prefill_since = now;
@@ -297,7 +297,7 @@
         self.unread_tokens = self.unread_tokens.saturating_sub(u64::from(tokens));
     }
 
-    /// Returns whether its current order was sent before and got no answer.
+    /// Returns whether the engine's current order was sent before and got no answer.
     pub(crate) fn is_retrying_order(&self) -> bool {
         self.order_attempts > 1
     }
@@ -307,7 +307,7 @@
         self.slots.values().filter(|slot| slot.is_loading()).count()
     }
 
-    /// Returns the number of these that come from the weight store.
+    /// Returns the number of adapters being loaded or to be loaded from the weight store.
     pub(crate) fn weight_store_loads(&self) -> usize {
         let slots = self.slots.values();
         let from_store =
@@ -337,7 +337,7 @@
         ready.map(resident).collect()
     }
 
-    /// Replaces what is known of its base models and adapters by its report.
+    /// Replaces what is known of the engine's base models and adapters by its report.
     pub(crate) fn apply_report(
         &mut self,
         now: Instant,
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -54,7 +54,7 @@
     /// Prompt tokens to read for each adapter.
     tokens: FxHashMap<AdapterId, u64>,
     /// Loads that have not started.
-    loads: usize,
+    queued_loads: usize,
     /// Loads from the weight store in progress, over all engines.
     store_loads: usize,
     /// Prefill rate of the slowest engine, in tokens per millisecond.
@@ -127,7 +127,7 @@
         } else {
             Span::ZERO
         };
-        let leaving = if self.all_leaving() {
+        let leaving_wait = if self.all_leaving() {
             UNBOUNDED_WAIT
         } else {
             Span::ZERO
@@ -136,21 +136,21 @@
         ids.filter_map(|id| {
             let (reason, span) =
                 self.forecast_request(now, &id, self.requests.get(&id)?, residency, &mut ahead);
-            let rate_limit = ahead
+            let rate_limit_wait = ahead
                 .rate_limit
                 .as_mut()
                 .map(|rate_limit| rate_limit.take_next(reason));
-            let cooldown = ahead.next_cooldown_end(&id.vm, |vm| self.cooldown_ends(now, vm));
-            let paused = if reason == WaitReason::Load {
+            let cooldown_wait = ahead.next_cooldown_end(&id.vm, |vm| self.cooldown_ends(now, vm));
+            let paused_wait = if reason == WaitReason::Load {
                 load_pause
             } else {
                 Span::ZERO
             };
-            let engine_wait = rate_limit
+            let engine_wait = rate_limit_wait
                 .unwrap_or_default()
-                .max(cooldown)
-                .max(leaving)
-                .max(paused);
+                .max(cooldown_wait)
+                .max(leaving_wait)
+                .max(paused_wait);
             let (reason, span) = if engine_wait > span {
                 (WaitReason::Engine, engine_wait)
             } else {
@@ -216,8 +216,8 @@
             return (WaitReason::Room, least.unwrap_or(Span::ZERO));
         };
         let engines = self.ready_engines(request, adapter, residency);
-        let allowed = |engine: &&Engine| engine.cooldown.allows(now, &id.vm);
-        let engines: Vec<&Engine> = engines.filter(allowed).collect();
+        let is_allowed = |engine: &&Engine| engine.cooldown.allows(now, &id.vm);
+        let engines: Vec<&Engine> = engines.filter(is_allowed).collect();
         let fewest = engines
             .iter()
             .map(|engine| engine.tokens_to_read(request))
@@ -251,10 +251,10 @@
                 SLOT_WAIT + self.local_load_time() + queue_wait,
             );
         }
-        ahead.loads += usize::from(is_first);
+        ahead.queued_loads += usize::from(is_first);
         (
             WaitReason::Load,
-            self.load_queue_wait(ahead.store_loads + ahead.loads) + queue_wait,
+            self.load_queue_wait(ahead.store_loads + ahead.queued_loads) + queue_wait,
         )
     }
 
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -52,7 +52,7 @@
 /// starts does not know which loads its predecessor began.
 const BASE_LOAD_RATE_SHARE: f64 = 0.8;
 
-/// Most base model loads that may start at once.
+/// Maximum number of base model loads that may start at once.
 const BASE_LOAD_BURST: f64 = 2.0;
 
 /// A token bucket for loads of base models from the weight store.
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -20,8 +20,9 @@
 /// Time after which a report that did not come is requested again.
 const REPORT_RETRY_DELAY: Span = Span::from_millis(400);
 
-/// Most reports requested at once. Each needs a connection, and a VM that has just become the scheduler opens
-/// all of them anew. At some milliseconds per report, 3,000 engines have answered within half a second.
+/// Maximum number of reports requested at once. Each needs a connection, and a VM that has just become the
+/// scheduler opens all of them anew. At some milliseconds per report, 3,000 engines have answered within half a
+/// second.
 const MAX_PENDING_REPORTS: usize = 64;
 
 impl Scheduler {
--- a/crates/gateway/src/scheduler/prefix_cache.rs
+++ b/crates/gateway/src/scheduler/prefix_cache.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     /// Number of tokens of each part, and the value of `use_count` at its last use.
-    rows: FxHashMap<PartKey, (u32, u64)>,
+    cached_parts: FxHashMap<PartKey, (u32, u64)>,
     /// Number of tokens of all parts.
     tokens: u64,
     /// Number of parts read.
@@ -31,8 +31,12 @@
 impl PrefixCache {
     /// Returns the number of tokens of a prompt that are cached, counted from its start.
     pub(crate) fn cached_tokens(&self, adapter: AdapterId, parts: &[PromptPart]) -> u32 {
-        let rows = parts.iter().map(|part| self.rows.get(&(adapter, part.id)));
-        rows.map_while(|row| row.map(|(tokens, _)| tokens)).sum()
+        let cached = parts
+            .iter()
+            .map(|part| self.cached_parts.get(&(adapter, part.id)));
+        cached
+            .map_while(|part| part.map(|(tokens, _)| tokens))
+            .sum()
     }
 
     /// Records that an engine with memory for `memory` tokens reads a prompt.
@@ -45,9 +49,9 @@
         // The first part is useful as long as any part after it is cached, so it gets the latest use.
         for part in parts.iter().rev() {
             self.use_count += 1;
-            let row = (part.tokens, self.use_count);
+            let entry = (part.tokens, self.use_count);
             self.tokens += u64::from(part.tokens);
-            if let Some((tokens, _)) = self.rows.insert((adapter, part.id), row) {
+            if let Some((tokens, _)) = self.cached_parts.insert((adapter, part.id), entry) {
                 self.tokens -= u64::from(tokens);
             }
         }
@@ -60,25 +64,29 @@
     /// Removes the parts of an adapter that was unloaded.
     pub(crate) fn remove_adapter(&mut self, adapter: AdapterId) {
         let tokens = &mut self.tokens;
-        self.rows.retain(|(of, _), (part_tokens, _)| {
-            let is_removed = *of == adapter;
-            *tokens -= if is_removed {
-                u64::from(*part_tokens)
-            } else {
-                0
-            };
-            !is_removed
-        });
+        self.cached_parts
+            .retain(|(part_adapter, _), (part_tokens, _)| {
+                let is_removed = *part_adapter == adapter;
+                *tokens -= if is_removed {
+                    u64::from(*part_tokens)
+                } else {
+                    0
+                };
+                !is_removed
+            });
     }
 
     /// Removes the least recently used part.
     fn evict_oldest(&mut self) {
-        let oldest = self.rows.iter().min_by_key(|(_, (_, last_use))| *last_use);
-        let Some((row, tokens)) = oldest.map(|(row, (tokens, _))| (*row, *tokens)) else {
+        let oldest = self
+            .cached_parts
+            .iter()
+            .min_by_key(|(_, (_, last_use))| *last_use);
+        let Some((part, tokens)) = oldest.map(|(part, (tokens, _))| (*part, *tokens)) else {
             self.tokens = 0;
             return;
         };
-        self.rows.remove(&row);
+        self.cached_parts.remove(&part);
         self.tokens -= u64::from(tokens);
     }
 }
--- a/crates/gateway/src/scheduler/scheduled_request.rs
+++ b/crates/gateway/src/scheduler/scheduled_request.rs
@@ -46,7 +46,7 @@
     pub(crate) arrived: Instant,
     /// When its objective ends: the time until which the first chunk of its answer is wanted.
     pub(crate) first_chunk_due: Instant,
-    /// When its answer is of no use any more.
+    /// When its caller gives up, after which its answer is of no use.
     pub(crate) deadline: Instant,
     /// Its priority; 0 is served first.
     pub(crate) priority: u8,
@@ -129,7 +129,7 @@
 /// All requests of a scheduler.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
-    rows: FxHashMap<VmRequestId, ScheduledRequest>,
+    by_id: FxHashMap<VmRequestId, ScheduledRequest>,
     /// The waiting requests, kept apart so that visiting them costs no more when many requests run.
     waiting: BTreeSet<QueuePosition>,
 }
@@ -141,15 +141,15 @@
         if request.is_waiting() {
             self.waiting.insert(request.queue_position(&id));
         }
-        self.rows.insert(id, request);
+        self.by_id.insert(id, request);
     }
 
     pub(crate) fn get(&self, id: &VmRequestId) -> Option<&ScheduledRequest> {
-        self.rows.get(id)
+        self.by_id.get(id)
     }
 
     pub(crate) fn remove(&mut self, id: &VmRequestId) -> Option<ScheduledRequest> {
-        let request = self.rows.remove(id)?;
+        let request = self.by_id.remove(id)?;
         if request.is_waiting() {
             self.waiting.remove(&request.queue_position(id));
         }
@@ -164,7 +164,7 @@
         prefill_tokens: u32,
         now: Instant,
     ) {
-        let Some(request) = self.rows.get_mut(id) else {
+        let Some(request) = self.by_id.get_mut(id) else {
             return;
         };
         self.waiting.remove(&request.queue_position(id));
@@ -176,10 +176,10 @@
         };
     }
 
-    /// Marks the answer to a request as started. Returns its server and when it was placed there, the first
-    /// time it is called.
+    /// Marks the answer to a request as started. Returns its server and when it was placed there;
+    /// `None` if the answer had started before.
     pub(crate) fn mark_answer_started(&mut self, id: &VmRequestId) -> Option<(Server, Instant)> {
-        match &mut self.rows.get_mut(id)?.state {
+        match &mut self.by_id.get_mut(id)?.state {
             State::Running {
                 server,
                 since,
@@ -195,7 +195,7 @@
     /// Returns the requests of a VM, in ascending order.
     pub(crate) fn of_vm(&self, vm: &Vm) -> Vec<VmRequestId> {
         let mut ids: Vec<VmRequestId> = self
-            .rows
+            .by_id
             .keys()
             .filter(|id| id.vm == *vm)
             .cloned()
@@ -206,11 +206,11 @@
 
     /// Returns the requests placed at a server, in ascending order.
     pub(crate) fn at_server(&self, server: &Server) -> Vec<VmRequestId> {
-        let rows = self
-            .rows
+        let assigned = self
+            .by_id
             .iter()
             .filter(|(_, request)| request.is_at(server));
-        let mut ids: Vec<VmRequestId> = rows.map(|(id, _)| id.clone()).collect();
+        let mut ids: Vec<VmRequestId> = assigned.map(|(id, _)| id.clone()).collect();
         ids.sort_unstable();
         ids
     }
@@ -219,7 +219,7 @@
     /// passed, then the others, both by priority and arrival.
     pub(crate) fn waiting(&self, now: Instant) -> Vec<VmRequestId> {
         let is_late = |id: &VmRequestId| {
-            self.rows
+            self.by_id
                 .get(id)
                 .is_some_and(|request| request.first_chunk_due < now)
         };
@@ -231,7 +231,7 @@
 
     /// Returns how many requests at a server use an adapter.
     pub(crate) fn count_using(&self, server: &Server, adapter: AdapterId) -> u32 {
-        let requests = self.rows.values();
+        let requests = self.by_id.values();
         let using =
             requests.filter(|request| request.adapter == Some(adapter) && request.is_at(server));
         u32::try_from(using.count()).unwrap_or(u32::MAX)
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -113,7 +113,7 @@
     let late = world
         .requests
         .values()
-        .flat_map(|a| &a.runs)
+        .flat_map(|request| &request.runs)
         .filter(|(at, server)| *at > drained_at && *server == id)
         .count();
     assert_eq!(late, 0);
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -101,11 +101,11 @@
         let end = self.now + span;
         while self.now < end {
             let next_answer = self.pending_answers.iter().map(|(at, ..)| *at).min();
-            let wake = self
+            let next = self
                 .scheduler
                 .next_run()
                 .min(next_answer.unwrap_or(Instant::NEVER));
-            self.now = wake.max(self.now + Span(100)).min(end);
+            self.now = next.max(self.now + Span(100)).min(end);
             self.step();
         }
     }
@@ -172,7 +172,8 @@
         }
     }
 
-    /// An engine rejects the request if its adapter is not ready yet, and otherwise answers it at once.
+    /// Serves a placed request at its engine, which rejects it if its adapter is not ready yet, and otherwise
+    /// answers it at once.
     fn serve(&mut self, vm: &Vm, request: u64, server: Server) {
         self.placed.push((vm.clone(), request));
         let Some(store) = &mut self.store else {
@@ -195,8 +196,8 @@
     }
 
     /// Reports the progress of a placed request to the scheduler.
-    fn report_progress(&mut self, at: usize, progress: Progress) {
-        let (vm, request) = self.placed[at].clone();
+    fn report_progress(&mut self, index: usize, progress: Progress) {
+        let (vm, request) = self.placed[index].clone();
         self.scheduler
             .update_progress(self.now, &vm, request, progress);
         self.step();
@@ -208,7 +209,7 @@
         // Multiples of a number that is coprime to the number of adapters visit every adapter in turn.
         let adapter = format!("a{}", number * 37 % adapter_count);
         self.adapters.insert(number as u64, Arc::from(&*adapter));
-        let want = PlacementRequest {
+        let placement = PlacementRequest {
             request: number as u64,
             id: Arc::from(format!("r{number}")),
             work: work(&adapter, 600, 20),
@@ -219,7 +220,7 @@
             zone: zone(number),
             failed: Vec::new(),
         };
-        self.scheduler.enqueue(self.now, &vm, want);
+        self.scheduler.enqueue(self.now, &vm, placement);
     }
 }
 
