--- a/crates/gateway/src/cluster.rs
+++ b/crates/gateway/src/cluster.rs
@@ -1,4 +1,4 @@
-//! What the VMs of a deployment do together: membership, the scheduler's leadership, and the copy of the
+//! The coordination of the VMs of a deployment: membership, the scheduler's leadership, and the copy of the
 //! key-value service's entries that each VM keeps.
 //!
 //! * [`snapshot`]: the entries of the key-value service that this VM knows, each with its revision.
@@ -10,7 +10,7 @@
 //! * `leadership`: the right to run a service's scheduler, and the fencing token of its orders; `candidacy`:
 //!   which VM may take a leadership, and when; `lease_vote`: how the holder of a leadership goes on while the
 //!   key-value service answers no VM.
-//! * `exclusion`: VMs that failed to do what was asked of them and are not asked again for a while.
+//! * `exclusion`: VMs that are excluded from a role for a while, since they failed in it.
 
 pub(crate) mod apply;
 pub(crate) mod candidacy;
--- a/crates/gateway/src/cluster/apply.rs
+++ b/crates/gateway/src/cluster/apply.rs
@@ -1,5 +1,5 @@
-//! Applies changes of the key-value service's entries to this VM, whether they came by its own watch, a list,
-//! another VM or a conflict.
+//! Applies changes of the key-value service's entries to this VM. A change arrives from this VM's own watch, a
+//! list, another VM, or the conflict that a failed transaction reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::request::quarantine::QUARANTINE_DURATION;
 use crate::timer::Timer;
 
-/// The least time between two log lines about unreadable entries.
+/// The minimum time between two log lines about unreadable entries.
 const UNREADABLE_LOG_INTERVAL: Span = Span::from_secs(1);
 
 /// State kept beside the snapshot to apply changes.
@@ -29,13 +29,14 @@
     servers_report_starts: bool,
     /// Number of unreadable entries since the last log line about one.
     unreadable_since_log: u64,
-    /// When that line was logged.
+    /// When the last log line about an unreadable entry was written.
     last_unreadable_log: Instant,
 }
 
 impl Gateway {
-    /// Applies `changes`. With `is_recovering`, the key-value service was away until a moment ago, and a server
-    /// whose entry is gone is kept for a grace period, since it may still write the entry again.
+    /// Applies `changes`. If `is_recovering`, the key-value service is or was recently away, and a server whose
+    /// entry is gone is kept for a grace period (`lapse_grace` of the settings), since the server may still
+    /// write its entry again.
     pub(crate) fn apply_changes(
         &mut self,
         changes: Vec<Change>,
@@ -56,8 +57,9 @@
         }
     }
 
-    /// Applies a complete list. An entry that the list lacks is deleted, except that while the key-value
-    /// service recovers a server without an entry is kept for a grace period.
+    /// Applies a complete list. Entries that the list lacks are deleted, with two exceptions: the operator's
+    /// entries (configuration and versions) stay in force, and while the key-value service recovers, a server
+    /// without an entry is kept for a grace period.
     pub(crate) fn apply_list(
         &mut self,
         changes: Vec<Change>,
@@ -78,6 +80,7 @@
         }
     }
 
+    /// Starts the grace period of a server whose entry disappeared while the key-value service was away.
     fn start_lapse_grace(&mut self, server: Server, out: &mut Effects) {
         let until = self.now + self.settings.tuning.lapse_grace;
         Self::log(
@@ -90,6 +93,7 @@
         self.timers.set(until, Timer::Watch);
     }
 
+    /// Removes the servers whose grace period has ended without a return of their entries.
     pub(crate) fn remove_lapsed_servers(&mut self, out: &mut Effects) {
         let due: Vec<Server> = self
             .applied
--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -15,18 +15,18 @@
 use crate::scheduler::client::HOLDER_TIMEOUT;
 use crate::timer::Timer;
 
-/// The time for which a VM waits for each VM ranked before it, before it takes a free leadership: a few round
-/// trips to the key-value service.
+/// The delay of a VM's candidacy for a free leadership per VM ranked before it: a few round trips to the
+/// key-value service.
 const CANDIDATE_GAP: Span = Span::from_millis(120);
 
-/// The least time for which a VM holds a leadership before it resigns it to a stronger VM: a new scheduler
-/// first queries all engines for reports.
+/// The minimum time for which a scheduler runs before its VM resigns the leadership to a stronger VM: a new
+/// scheduler first queries all engines for reports, so its load is not judged earlier.
 const MIN_TRIAL: Span = Span::from_secs(5);
 
 /// How many times as strong as this VM a peer must be for this VM to resign to it.
 const MUCH_STRONGER_FACTOR: u32 = 2;
 
-/// The longest time since such a peer was last heard.
+/// The maximum time since the last message of a much stronger peer for this VM to resign to that peer.
 const HEARD_WITHIN: Span = Span::from_secs(2);
 
 /// This VM's plan to take a leadership.
@@ -63,17 +63,20 @@
     /// As for `Own`, but this VM is to resign: it has stopped scheduling twice within a short time, or it has
     /// restarted and a stronger VM is present.
     Resign,
-    /// Its holder is silent, and engines refuse the holder's orders from the first order of the next holder on.
+    /// Its holder is silent, and engines check fencing tokens: after the first order of the next holder, they
+    /// refuse the silent holder's orders.
     HolderSilent,
 }
 
-/// The least time between two changes of a leadership's holder. Where fencing tokens are checked, a VM doesn't
-/// take the leadership of a silent holder earlier: alternating orders of two holders within three seconds are
-/// unwanted, even where fencing tokens make them harmless.
+/// The minimum time between two changes of a leadership's holder. Where fencing tokens are checked, a VM
+/// doesn't take the leadership of a silent holder earlier. A VM that has lost a leadership doesn't take it
+/// again earlier. Alternating orders of two holders within three seconds are unwanted, even where fencing
+/// tokens make them harmless.
 pub(crate) const MIN_TENURE: Span = Span::from_millis(3_500);
 
 impl Gateway {
-    /// Whether a leadership became free by the passing of time alone, and this VM has no candidacy for it yet.
+    /// Whether a leadership is free for which this VM has no candidacy. A leadership may become free by the
+    /// passing of time alone, without an event that updates the candidacies.
     pub(crate) fn lacks_candidacy(&self) -> bool {
         let mut engines = self.index.engines().map(|service| &service.name);
         engines.any(|service| {
@@ -83,7 +86,7 @@
     }
 
     /// Starts the candidacies that have become possible by a change of the configuration, of a holder, or of
-    /// what is known of one, and acts on those that are due.
+    /// what is known of a holder, and performs the steps that are due.
     pub(crate) fn update_candidacies(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.index.engines().map(|s| s.name.clone()).collect();
         for service in services {
@@ -110,12 +113,13 @@
         self.advance_candidacies(out);
     }
 
-    /// Returns the earliest time at which this VM may take a leadership. Where engines don't check fencing
-    /// tokens, that is after the lease vote that this VM gave has expired and, if its entry's lease was granted
-    /// recently, after the votes that other VMs may have given without its knowledge have expired. A VM that
-    /// never knew another VM may take the leadership at once. If the last entry of another VM has just
-    /// disappeared, as all do when the key-value service loses its leases, the other VMs may still act on their
-    /// leases, and this VM waits for the duration of a vote.
+    /// Returns the earliest time at which this VM may take a leadership. A leadership that this VM held before
+    /// is free to it again [`MIN_TENURE`] after its loss. Where engines don't check fencing tokens, this VM
+    /// also waits until its own lease vote has expired and, if the lease of its entry was granted recently,
+    /// until the votes have expired that other VMs may have given without its knowledge. A VM that never knew
+    /// another VM may take the leadership at once. If the last entry of another VM has just disappeared, as all
+    /// do when the key-value service loses its leases, the other VMs may still act on their leases, and this VM
+    /// waits for the duration of a vote.
     fn earliest_take(&self, service: &Service) -> Instant {
         let fencing = self.settings.tuning.fencing;
         let vote = VOTE_DURATION + self.settings.tuning.lease_guard;
@@ -133,6 +137,7 @@
             .max(others)
     }
 
+    /// Sets this VM's candidacy for a leadership, logs it, and sets the timer for its next step.
     pub(crate) fn set_candidacy(
         &mut self,
         service: Service,
@@ -154,7 +159,7 @@
         self.leaderships.candidacies.insert(service, candidacy);
     }
 
-    /// Returns whether this VM may take a leadership.
+    /// Returns the vacancy of a leadership, including the waiting time that applies to this VM alone.
     fn vacancy(&self, service: &Service) -> Vacancy {
         let vacancy = self.vacancy_for_any(service);
         let must_wait = self.now < self.earliest_take(service);
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Returns whether a VM may take a leadership, disregarding the waiting time that applies to this VM alone.
+    /// Returns the vacancy of a leadership, disregarding the waiting time that applies to this VM alone.
     fn vacancy_for_any(&self, service: &Service) -> Vacancy {
         let change = self.snapshot.get(&EntryKey::Holder(service.clone()));
         let Some(EntryValue::Holder(holder)) = change.and_then(|change| change.value.as_ref())
@@ -228,13 +233,15 @@
         }
     }
 
+    /// Whether a peer at least [`MUCH_STRONGER_FACTOR`] times as strong as this VM was heard recently.
     fn hears_much_stronger_peer(&self) -> bool {
-        let enough = self
+        let required_strength = self
             .strength(&self.settings.vm)
             .saturating_mul(MUCH_STRONGER_FACTOR);
         let since = self.now.back(HEARD_WITHIN);
         let mut peers = self.peers();
-        peers.any(|vm| self.strength(vm) >= enough && self.membership.is_heard(vm, since))
+        peers
+            .any(|vm| self.strength(vm) >= required_strength && self.membership.is_heard(vm, since))
     }
 
     /// Performs the due step of each candidacy.
@@ -246,8 +253,8 @@
             let candidacy = self.leaderships.candidacies.remove(&service);
             let next = match (self.vacancy(&service), candidacy) {
                 (Vacancy::Held, _) => continue,
-                // At that time the VMs that rank before this one still go first, so this VM determines its rank
-                // then.
+                // When this VM may take the leadership, VMs that rank before it still go first. So this VM
+                // determines its rank only at that time.
                 (Vacancy::NotYet, _) => Candidacy::DetermineRank(self.earliest_take(&service)),
                 (Vacancy::Free, Some(Candidacy::DetermineRank(_))) => {
                     self.ranked_candidacy(&service)
@@ -291,6 +298,7 @@
         client.holder.as_ref()
     }
 
+    /// Returns the rank of a VM among the candidates for a leadership; lower ranks go first.
     fn candidate_rank(&self, service: &Service, vm: &Vm) -> (Reverse<u32>, u64) {
         let score = membership::rendezvous_score(&(service.as_str(), vm.as_str()));
         (Reverse(self.strength(vm)), score)
--- a/crates/gateway/src/cluster/exclusion.rs
+++ b/crates/gateway/src/cluster/exclusion.rs
@@ -1,4 +1,5 @@
-//! VMs that failed to do what was asked of them and are not asked again for a while.
+//! A list of VMs that are excluded from a role for a while, since they failed in it: as upstream (`watch`), or
+//! as keeper of the pooled account quotas (`account::quota`).
 
 use dahliastile_core::id::Vm;
 use dahliastile_core::time::Instant;
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -7,8 +7,8 @@
 //! check fencing tokens, the holder stops before its lease can end.
 //!
 //! The lease is granted when a leadership is to be taken, and renewed as long as a leadership is held or a
-//! write of one may still be performed. So the short lease, which replaces an ended holder quickly, costs the
-//! calls of one VM only, however many VMs there are.
+//! write of one may still be performed. The lease is short, so that a holder that has failed is replaced
+//! quickly; since only the holder has it, its renewals are the calls of one VM, however many VMs there are.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -52,7 +52,7 @@
 struct Loss {
     /// When this VM ceased to hold the leadership.
     at: Instant,
-    /// Whether the loss before was less than [`REPEATED_LOSS_WINDOW`] earlier.
+    /// Whether the previous loss of the same leadership was less than [`REPEATED_LOSS_WINDOW`] before this one.
     is_repeated: bool,
 }
 
@@ -104,7 +104,8 @@
         );
     }
 
-    /// Whether this VM has just lost a leadership for the second time within a short time.
+    /// Whether this VM has lost a leadership twice within [`REPEATED_LOSS_WINDOW`], the second time less than
+    /// [`MIN_TENURE`] ago.
     pub(crate) fn should_yield(&self, service: &Service, now: Instant) -> bool {
         let loss = self.losses.get(service);
         loss.is_some_and(|loss| loss.is_repeated && now < loss.at + MIN_TENURE)
@@ -139,6 +140,7 @@
 }
 
 impl Gateway {
+    /// Delays this VM's candidacies by [`STARTUP_WAIT`]; called once at its start.
     pub(crate) fn start_candidacy_delay(&mut self) {
         self.leaderships.startup_wait_until = self.now + STARTUP_WAIT;
     }
@@ -209,7 +211,8 @@
         }
     }
 
-    /// Starts the scheduler of a service, as this VM holds its leadership.
+    /// Starts the scheduler of a service whose leadership this VM holds, unless it runs already with the
+    /// fencing token `fence` or this VM is stopping.
     pub(crate) fn start_scheduler(&mut self, service: &Service, fence: u64, out: &mut Effects) {
         let Some(service_config) = self.index.service(service.as_str()).cloned() else {
             return;
@@ -249,7 +252,7 @@
         self.timers.set(self.now, Timer::Leadership);
     }
 
-    /// Stops the scheduler of a service, as this VM doesn't hold its leadership or may lose it.
+    /// Stops the scheduler of a service whose leadership this VM doesn't hold, resigns or may lose.
     pub(crate) fn stop_scheduler(&mut self, service: &Service, out: &mut Effects) {
         if self.schedulers.remove(service).is_some() {
             self.leaderships.record_loss(service, self.now);
@@ -257,7 +260,8 @@
         }
     }
 
-    /// Stops the scheduler of a service after a server has seen a higher fencing token than this VM's.
+    /// Stops the scheduler of a service after a server has seen a higher fencing token than this scheduler's.
+    /// Resigns the leadership if its known entry is still the one that this VM wrote.
     pub(crate) fn handle_fenced_order(&mut self, service: &Service, out: &mut Effects) {
         let Some(scheduler) = self.schedulers.get(service) else {
             return;
@@ -300,7 +304,7 @@
         }
     }
 
-    /// Returns the value with which this start of this VM is written as the holder of a leadership.
+    /// Returns this VM, with its incarnation, as the holder of a leadership.
     pub(crate) fn as_holder(&self) -> Holder {
         Holder {
             vm: self.settings.vm.clone(),
@@ -308,7 +312,7 @@
         }
     }
 
-    /// Whether a change names this start of this VM as the holder of a leadership.
+    /// Whether a change names this VM, with its incarnation, as the holder of a leadership.
     fn names_this_start(&self, change: &Change) -> bool {
         change.value == Some(EntryValue::Holder(self.as_holder()))
     }
@@ -376,7 +380,8 @@
         }
     }
 
-    /// Takes the leaderships whose candidacies were due before the lease was granted and the entry written.
+    /// Takes the leaderships that this VM could not take when their candidacies were due, since it had no lease
+    /// or its entry was not written. Updates all candidacies.
     pub(crate) fn take_awaiting_lease(&mut self, out: &mut Effects) {
         if self.leaderships.has_lease() && self.registration.written_revision().is_some() {
             for service in std::mem::take(&mut self.leaderships.awaiting_lease) {
--- a/crates/gateway/src/cluster/lease.rs
+++ b/crates/gateway/src/cluster/lease.rs
@@ -23,7 +23,7 @@
 /// The next call for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DueCall {
-    /// Have a lease granted.
+    /// Request a lease.
     Grant,
     /// Renew the lease.
     Renew(Lease),
@@ -140,13 +140,14 @@
     }
 
     /// Moves the next call to a random time within `within` from `now`, if it is due later. Used when the
-    /// key-value service is back, or has deleted entries under the lease.
+    /// key-value service answers again, to check whether it answers, and after an entry under the lease was
+    /// deleted or could not be written.
     pub(crate) fn expedite(&mut self, now: Instant, within: Span, rng: &mut impl Rng) {
         let soon = now + Span(rng.random_range(0..=within.0));
         self.next_call = self.next_call.min(soon);
     }
 
-    /// Gives up the lease, which then ends by itself.
+    /// Discards the lease. At the key-value service the lease expires, unless the caller revokes it.
     pub(crate) fn give_up(&mut self) {
         self.id = None;
         self.next_call = Instant::default();
--- a/crates/gateway/src/cluster/lease_vote.rs
+++ b/crates/gateway/src/cluster/lease_vote.rs
@@ -104,8 +104,8 @@
         out: &mut Effects,
     ) {
         if !self.registration.is_unanswered(self.now) {
-            // The holder has no answer from the key-value service. This VM calls the service to learn whether
-            // it answers, and can vote when it is asked again.
+            // The key-value service doesn't answer the holder, but may answer this VM. This VM calls the
+            // service to find out, and can vote on the holder's next request.
             self.probe_by_registration(out);
             return;
         }
@@ -124,7 +124,7 @@
         );
     }
 
-    /// Handles the vote of a VM on this VM's request sent at `requested_at`.
+    /// Handles the lease vote of a VM, given for the request that this VM sent at `requested_at`.
     pub(crate) fn handle_vote(
         &mut self,
         service: &Service,
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -2,7 +2,8 @@
 //!
 //! The entry of a live VM may disappear from the key-value service, if the service refuses its calls, and the
 //! entry of a VM that has ended remains for seconds. So addresses are kept, and a VM counts as gone when its
-//! link is down and either its entry is gone or no connection to it could be made for a while.
+//! link (this VM's connection to it) is down and either its entry is gone or connections to it have failed for
+//! [`UNREACHABLE_TIMEOUT`].
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -15,16 +16,16 @@
 use crate::cluster::snapshot::Member;
 use crate::event::LinkFault;
 
-/// How long after it was last heard a VM without an entry still counts as alive.
-const KEEP_UNLISTED: Span = Span::from_secs(10);
+/// How long a VM without an entry counts as alive after its last message.
+const UNLISTED_TIMEOUT: Span = Span::from_secs(10);
 
 /// How long connections to a VM must fail before it counts as gone: two attempts and some margin. If it was
 /// alive after all, only its requests to this VM are lost, and it repeats all of them when it is heard again.
-const UNREACHABLE: Span = Span::from_millis(600);
+const UNREACHABLE_TIMEOUT: Span = Span::from_millis(600);
 
 /// How long a VM that is gone counts as recent: it may merely be cut off, and keep using its share of the account
 /// limits for as long.
-const RECENT: Span = Span::from_secs(60);
+const RECENT_WINDOW: Span = Span::from_secs(60);
 
 /// What is known of one VM.
 #[derive(Clone, Debug)]
@@ -39,9 +40,9 @@
     is_listed: bool,
     /// When its entry last disappeared.
     unlisted_at: Instant,
-    /// When it was last heard.
+    /// When its last message arrived.
     heard_at: Instant,
-    /// When its link first failed after it was last heard.
+    /// When its link first failed after its last message; none if the link has not failed since.
     down_since: Option<Instant>,
 }
 
@@ -101,7 +102,8 @@
         let mut peers = self.peers.iter_mut();
         let (vm, peer) = peers.find(|(_, peer)| peer.address == address)?;
         let since = *peer.down_since.get_or_insert(now);
-        let is_unreachable = fault == LinkFault::Unreachable && now.since(since) >= UNREACHABLE;
+        let is_unreachable =
+            fault == LinkFault::Unreachable && now.since(since) >= UNREACHABLE_TIMEOUT;
         Some((vm.clone(), !peer.is_listed || is_unreachable))
     }
 
@@ -136,7 +138,8 @@
     /// Returns the VMs that count as alive.
     pub(crate) fn present(&self, now: Instant) -> impl Iterator<Item = &Vm> {
         let is_alive = move |peer: &Peer| {
-            peer.is_listed || peer.down_since.is_none() && now.since(peer.heard_at) < KEEP_UNLISTED
+            peer.is_listed
+                || peer.down_since.is_none() && now.since(peer.heard_at) < UNLISTED_TIMEOUT
         };
         self.peers
             .iter()
@@ -144,13 +147,13 @@
             .map(|(vm, _)| vm)
     }
 
-    /// Returns the number of VMs that are alive or were so within [`RECENT`], not counting `besides`.
-    pub(crate) fn recent_count(&self, now: Instant, besides: &Vm) -> usize {
+    /// Returns the number of VMs that are alive or were so within [`RECENT_WINDOW`], without counting `except`.
+    pub(crate) fn recent_count(&self, now: Instant, except: &Vm) -> usize {
         let is_recent = |peer: &Peer| {
             let seen = peer.unlisted_at.max(peer.heard_at);
-            peer.is_listed || seen > Instant::default() && now.since(seen) < RECENT
+            peer.is_listed || seen > Instant::default() && now.since(seen) < RECENT_WINDOW
         };
-        let others = self.peers.iter().filter(|(vm, _)| *vm != besides);
+        let others = self.peers.iter().filter(|(vm, _)| *vm != except);
         others.filter(|(_, peer)| is_recent(peer)).count()
     }
 
@@ -170,7 +173,8 @@
     }
 }
 
-/// Returns the score of a choice in rendezvous hashing, which is the same on every VM.
+/// Returns the score of a choice in rendezvous hashing; the lowest score wins. Every VM computes the same
+/// score.
 pub(crate) fn rendezvous_score<T: Hash + ?Sized>(choice: &T) -> u64 {
     let mut hasher = FxHasher::default();
     choice.hash(&mut hasher);
--- a/crates/gateway/src/cluster/registration.rs
+++ b/crates/gateway/src/cluster/registration.rs
@@ -1,9 +1,9 @@
 //! This VM's own entry in the key-value service, by which other VMs find it, and the entry's long lease.
 //!
 //! Other VMs need not learn from the entry that a VM has ended, since VMs that depend on it notice a failed
-//! link. So the lease is long and rarely renewed, and an outage of a few seconds doesn't end it. The lease of
-//! leaderships (`leadership`) is short, but only a VM that holds a leadership has one. So idle VMs make few
-//! calls of the key-value service, however many VMs there are.
+//! link. The entry's lease is therefore long and rarely renewed, and an outage of a few seconds doesn't end it.
+//! The lease of leaderships (`leadership`) is short, but only a VM that holds or takes a leadership has one.
+//! All other VMs make few calls to the key-value service.
 
 use std::collections::BTreeMap;
 
--- a/crates/gateway/src/cluster/relay.rs
+++ b/crates/gateway/src/cluster/relay.rs
@@ -1,5 +1,5 @@
-//! Which VMs distribute what all VMs need: a few watchers, which watch the key-value service for all VMs, and
-//! one relay per availability zone, which receives from a watcher and sends to its zone.
+//! Selects the VMs that distribute data to all VMs: a few watchers, which watch the key-value service for all
+//! VMs, and one relay per availability zone, which receives changes from a watcher and sends them to its zone.
 //!
 //! Each VM derives the roles from the members that it knows, without an election: the strongest VMs are
 //! watchers, and the strongest VM of a zone is its relay; ties are broken by hashing. A VM that fails in its
@@ -22,6 +22,7 @@
 type Rank = (Reverse<u32>, u64);
 
 impl Gateway {
+    /// Returns the rank of a VM in the choice of watchers and relays.
     fn role_rank(&self, vm: &Vm) -> Rank {
         (
             Reverse(self.strength(vm)),
@@ -71,9 +72,10 @@
         relays.into_values().collect()
     }
 
-    /// Sends the resident adapters of a service's engines to all other VMs: directly within this VM's
-    /// availability zone, and through the relay of each other zone. Traffic between zones is the most expensive
-    /// traffic between VMs; this way one message per digest crosses to each zone, whatever the number of VMs.
+    /// Sends a digest, the resident adapters of a service's engines, to all other VMs: directly within this
+    /// VM's availability zone, and through the relay of each other zone. Traffic between zones is the most
+    /// expensive traffic between VMs; this way one message per digest crosses to each zone, whatever the number
+    /// of VMs.
     pub(crate) fn broadcast_residents(
         &self,
         service: &Service,
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -17,9 +17,10 @@
 /// impaired.
 const WATCHER_FRESHNESS: Span = Span::from_millis(1_100);
 
-/// The same for the relay of an availability zone, which learns of the answers from a watcher: one more
-/// interval of subscriptions. After that, the zone turns to its next relay, which has `SECOND_UPSTREAM_TIMEOUT`
-/// to reach the service, since a configuration must be in force within two seconds.
+/// The same bound for an upstream that is the relay of an availability zone and learns of the answers from a
+/// watcher: one more interval of subscriptions. When it is exceeded, the VMs of the zone choose their next
+/// relay, which has `SECOND_UPSTREAM_TIMEOUT` to reach the service, since a configuration must be in force
+/// within two seconds.
 const RELAY_FRESHNESS: Span = Span::from_millis(1_400);
 
 /// How long a subscription is valid: time for five messages that renew it.
@@ -73,17 +74,18 @@
         }
     }
 
-    /// Returns the age of the key-value service's last answer up to which an upstream counts as fresh.
-    pub(crate) fn freshness_limit(&self, from: &Vm) -> Span {
-        if self.watchers().contains(&from) {
+    /// Returns the age of the key-value service's last answer up to which `upstream` counts as fresh.
+    pub(crate) fn freshness_limit(&self, upstream: &Vm) -> Span {
+        if self.watchers().contains(&upstream) {
             WATCHER_FRESHNESS
         } else {
             RELAY_FRESHNESS
         }
     }
 
-    /// Handles the report of another VM that the key-value service answered it, or a VM upstream of it, at a
-    /// time.
+    /// Handles the report of the VM `from` that the key-value service answered it, or a VM upstream of it, at
+    /// the time `at`. If the report isn't from this VM's upstream and the service is away, this VM calls the
+    /// service soon.
     fn record_reported_answer(&mut self, at: Instant, from: &Vm, out: &mut Effects) {
         if self.watch.upstream.as_ref() == Some(from) {
             self.record_store_answer(at, out);
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -111,9 +111,10 @@
     Member(Member),
     /// The holder of a service's leadership.
     Holder(Holder),
-    /// The request is refused.
+    /// The request is quarantined: VMs refuse it.
     Quarantine,
-    /// A value that can't be decoded, since another program may have written it. It says nothing about its key.
+    /// A value that can't be decoded, since another program may have written it. Such a value carries no
+    /// information about its key.
     Unreadable,
 }
 
@@ -146,7 +147,7 @@
 /// Whether a change comes with all earlier changes of its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Each change of the entry, one after the other, as this VM's own watch shows them.
+    /// Each change of the entry, in order. This VM's own watch delivers changes in this way.
     EveryChange,
     /// The latest change of the entry; earlier ones may be missing. Lists, conflicts and other VMs deliver
     /// changes in this way.
@@ -161,8 +162,8 @@
 }
 
 impl Snapshot {
-    /// Applies a change, unless the known one of the same key is as new or newer. Returns whether it was
-    /// applied.
+    /// Applies a change, unless a change of the same key with the same or a higher revision is known. Returns
+    /// whether it was applied.
     pub fn apply(&mut self, change: Change, delivery: Delivery) -> bool {
         match self.entries.get_mut(&change.key) {
             Some(known) if known.change.revision >= change.revision => false,
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Whether a change is newer than the known one of its key.
+    /// Whether a change is newer than the known change of its key.
     #[must_use]
     pub fn is_newer(&self, change: &Change) -> bool {
         let known = self.entries.get(&change.key);
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -6,7 +6,8 @@
 //! subscribes to a watcher, and the other VMs of the zone subscribe to the relay, so each change crosses to a
 //! zone once. Changes are sent to subscribers at once. A VM whose upstream is silent chooses another upstream,
 //! then watches directly for a while. A VM that can't reach the key-value service queries other VMs for the
-//! changes that they know.
+//! changes that they know. The service counts as away from a failed list or watch until its next answer to this
+//! VM or to this VM's upstream.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,14 +31,15 @@
 /// a configuration must be in force within two seconds.
 const WATCH_PAUSE: Span = Span::from_millis(200);
 
-/// The same for a VM that watches directly only because the watchers are silent, and the least time between its
-/// calls while the key-value service doesn't answer. All VMs may be in this state at once, and even with a few
-/// hundred VMs their calls must stay well below the service's rate limits (2,000 reads a second in the smaller
-/// deployments).
+/// The pause between two watches of a VM that watches directly only because the watchers are silent, and the
+/// minimum time between its calls while the key-value service doesn't answer. All VMs may be in this state at
+/// once, and even with a few hundred VMs their calls must stay well below the service's rate limits (2,000
+/// reads a second in the smaller deployments).
 pub(crate) const DIRECT_WATCH_PAUSE: Span = Span::from_millis(400);
 
-/// How many times that least time doubles after failed calls: it grows to between three and six seconds. A VM
-/// that learns from another VM that the service is back calls it sooner.
+/// How many times [`DIRECT_WATCH_PAUSE`] doubles after failed calls. The pause is drawn from between the
+/// doubled time and twice that, so it grows to between three and six seconds. A VM that learns from another VM
+/// that the service is back calls it sooner.
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
 /// The time between two subscription messages to the upstream or, while the key-value service is away, to
@@ -47,13 +49,14 @@
 /// How long the upstream may be silent before this VM chooses another one.
 pub(crate) const UPSTREAM_TIMEOUT: Span = Span::from_millis(700);
 
-/// How long that second upstream may be silent before this VM watches directly: enough for a subscription
-/// message and one repetition. [`UPSTREAM_TIMEOUT`], this time, the pause between two checks and one call take
-/// a second and a half together, of the two seconds within which a configuration must be in force.
+/// How long an upstream that replaces a silent or stale one may be silent before this VM watches directly:
+/// enough for a subscription message and one repetition. [`UPSTREAM_TIMEOUT`], this time, the pause between two
+/// checks and one call take a second and a half together, of the two seconds within which a configuration must
+/// be in force.
 const SECOND_UPSTREAM_TIMEOUT: Span = Span::from_millis(400);
 
-/// How long this VM then watches directly before it subscribes again, and how long it doesn't subscribe to a VM
-/// that was silent.
+/// How long this VM watches directly, after a second upstream was silent or stale, before it subscribes again;
+/// and how long it doesn't subscribe to a VM that was silent or stale.
 const DIRECT_WATCH_DURATION: Span = Span::from_secs(4);
 
 /// How long the key-value service may be away before peers are queried: time for two calls.
@@ -118,12 +121,12 @@
                 let is_recovering = self.is_recovering();
                 self.apply_changes(changes, Delivery::EveryChange, is_recovering, out);
                 self.watch.cursor = Some(revision);
-                let gap = if self.is_watcher() {
+                let pause = if self.is_watcher() {
                     WATCH_PAUSE
                 } else {
                     DIRECT_WATCH_PAUSE
                 };
-                self.schedule_call(gap);
+                self.schedule_call(pause);
             }
             KvOutcome::Compacted => {
                 self.watch.cursor = None;
@@ -146,7 +149,8 @@
         self.query_peers(out);
     }
 
-    /// Whether entries may be missing only because the key-value service is or was just away.
+    /// Whether entries may be missing only because the key-value service is away, or was away until less than
+    /// `lapse_grace` ago.
     pub(crate) fn is_recovering(&self) -> bool {
         let grace = self.settings.tuning.lapse_grace;
         let back = self.watch.back_at;
@@ -224,8 +228,8 @@
     }
 
     /// Whether the key-value service's last answer to the upstream is too old. A watcher counts as stale as
-    /// soon as it reports this; a relay may be about to find out that its own upstream is stale, and gets a
-    /// moment.
+    /// soon as it reports such an answer. A relay may be about to replace its own stale upstream, and counts as
+    /// stale only [`SECOND_UPSTREAM_TIMEOUT`] after this VM chose it.
     fn is_upstream_stale(&self, upstream: &Vm) -> bool {
         let can_be_stale = if self.watchers().contains(&upstream) {
             self.watch.upstream_heard_at > self.watch.upstream_since
@@ -253,8 +257,8 @@
             let detail = format!("vm={upstream:?} silent={is_silent} stale={is_stale}");
             Self::log(out, Code::FollowingEnded, detail);
             if let Some(upstream) = upstream.filter(|_| is_silent || is_stale) {
-                // A watcher that reports that it gets no answers cost no waiting time, so another watcher is
-                // tried even if a VM is already excluded.
+                // No time was lost waiting for a watcher that itself reported a stale answer, so another
+                // watcher is tried even if a VM is already excluded.
                 let watch_directly =
                     self.has_exclusions() && (is_silent || !self.watchers().contains(&&upstream));
                 if watch_directly {
@@ -275,6 +279,7 @@
         }
     }
 
+    /// Records that a list or watch failed, and schedules the next call.
     fn record_store_failure(&mut self, outcome: &KvOutcome, out: &mut Effects) {
         if self.watch.away_since.is_none() {
             self.watch.away_since = Some(self.now);
@@ -310,6 +315,8 @@
         }
     }
 
+    /// Queries a random peer for the changes that it knows, or a seed address if there is no peer. Does so every
+    /// [`SUBSCRIBE_INTERVAL`] while the key-value service is away.
     fn query_peers(&mut self, out: &mut Effects) {
         if self.watch.away_since.is_none() || self.now < self.watch.next_subscribe {
             return;
@@ -326,7 +333,8 @@
         self.timers.set(self.watch.next_subscribe, Timer::Watch);
     }
 
-    /// Queries one of the addresses in the settings: no other VM is known, and one may be found there.
+    /// Sends a query to one of the seed addresses of the settings, since no other VM is known that could be
+    /// queried.
     fn query_seed(&mut self, query: Message, out: &mut Effects) {
         let own = self.settings.address;
         let seeds = self.settings.seeds.iter().filter(|seed| **seed != own);
--- a/crates/gateway/tests/follow.rs
+++ b/crates/gateway/tests/follow.rs
@@ -30,13 +30,15 @@
     }
 }
 
-fn versions(world: &World) -> Vec<u64> {
+/// Returns the version of the configuration in force at each VM that runs.
+fn config_versions(world: &World) -> Vec<u64> {
     let gateways = world.vms.iter().filter_map(|vm| vm.gateway.as_ref());
     gateways
         .map(dahliastile_gateway::Gateway::config_version)
         .collect()
 }
 
+/// Returns a world of `vms` VMs, the engines e0 to e3 and the server p0, which has no adapters, after three seconds.
 fn settled_world(vms: usize) -> World {
     let mut world = World::new(vms, 4, 1);
     world.run(Span::from_secs(2));
@@ -55,9 +57,9 @@
         world.store.watched_by
     );
     world.configure(config(7));
-    // The pause between two watches, with a margin.
+    // The pause between two watches is 200 ms; the rest is a margin.
     world.run(Span::from_millis(250));
-    assert_eq!(versions(&world), vec![7; 12]);
+    assert_eq!(config_versions(&world), vec![7; 12]);
 }
 
 #[test]
@@ -71,7 +73,7 @@
     }
     world.configure(config(8));
     world.run(Span::from_millis(1_600));
-    assert_eq!(versions(&world), vec![8; 9]);
+    assert_eq!(config_versions(&world), vec![8; 9]);
     world.check_invariants();
 }
 
@@ -86,13 +88,13 @@
     }
     world.configure(config(9));
     world.run(Span::from_millis(1_600));
-    let others = versions(&world)
+    let others = config_versions(&world)
         .into_iter()
         .filter(|version| *version == 9)
         .count();
     assert_eq!(others, 9);
     world.run(Span::from_secs(6));
-    assert_eq!(versions(&world), vec![9; 12]);
+    assert_eq!(config_versions(&world), vec![9; 12]);
 }
 
 /// The key-value service refuses the calls of all watchers: the other VMs watch it directly, and send the
@@ -109,7 +111,7 @@
     world.wake_watchers();
     world.configure(config(9));
     world.run(Span::from_millis(2_500));
-    assert_eq!(versions(&world), vec![9; 12]);
+    assert_eq!(config_versions(&world), vec![9; 12]);
 }
 
 /// Every entry expires while the key-value service is away: no VM removes the servers before they could write
@@ -150,7 +152,7 @@
     }
     world.configure(config(9));
     world.run(Span::from_millis(1_900));
-    let others = versions(&world)
+    let others = config_versions(&world)
         .into_iter()
         .filter(|version| *version == 9)
         .count();
@@ -197,7 +199,7 @@
         world.store.watched_by.clear();
         world.configure(config(10 + frozen as u64));
         run_with_rewrites(&mut world, Span::from_secs(2));
-        let versions = versions(&world);
+        let versions = config_versions(&world);
         let behind = versions.iter().filter(|v| **v != 10 + frozen as u64);
         assert!(behind.count() <= 1, "{versions:?}");
         let watching = world.store.watched_by.len();
@@ -249,7 +251,7 @@
         world.run(Span::from_millis(round * 7 % 50));
         world.configure(config(9));
         run_with_rewrites(&mut world, Span::from_secs(3));
-        assert_eq!(versions(&world), vec![9; 24], "round {round}");
+        assert_eq!(config_versions(&world), vec![9; 24], "round {round}");
     }
 }
 
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -12,6 +12,7 @@
 use support::World;
 use support::setup::{ENGINES, name, request, work};
 
+/// Returns a world of four VMs and four engines after two seconds of light load.
 fn warm_world() -> World {
     let mut world = World::new(4, 4, 1);
     world.run(Span::from_secs(2));
@@ -52,7 +53,8 @@
     );
     world.run(Span::from_secs(8));
     let first = world.time_to_first_chunk(cold).expect("served");
-    // The sum of the lease of 2 s, the gap between candidates, and the loading of the adapter.
+    // The time to the first chunk includes the rest of the lease of 2 s, the gap between candidates, and the
+    // loading of the adapter.
     assert!(first < Span::from_millis(3_000), "{first}");
     world.check_invariants();
 }
@@ -186,7 +188,8 @@
     world.check_invariants();
 }
 
-/// The same for the scheduler's own VM.
+/// The key-value service refuses the calls of the scheduler's own VM and deletes its entries: another VM
+/// schedules, and the requests at the revoked VM are still served.
 #[test]
 fn holder_revokedisreplacedandserved() {
     let mut world = warm_world();
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -13,7 +13,7 @@
 use support::World;
 use support::setup::{ENGINES, adapter_request, config, name, request, work};
 
-/// Returns VMs with engines that don't check fencing tokens.
+/// Returns a world of four VMs, and four engines that don't check fencing tokens, after two seconds of light load.
 fn unfenced_world() -> World {
     let tuning = Tuning {
         fencing: false,
@@ -118,7 +118,8 @@
 
 /// The key-value service is away for five seconds. The holder stops in time; afterwards its lease and its entry
 /// still exist. It schedules again with a new fencing token as soon as its lease is renewed, though no other VM
-/// may take its leadership. The second case is that the leases expire during the outage.
+/// may take its leadership. In the second case, the leases expire during the outage, and the leadership is free
+/// after it.
 #[test]
 fn holder_unfencedschedulesagain() {
     for lapse in [false, true] {
@@ -196,9 +197,9 @@
     world.check_invariants();
 }
 
-/// The same while VMs freeze, are cut off, are killed and restarted, or reach the key-value service when the
-/// holder doesn't, and while leases expire. In all cases no engine takes alternating orders of two holders, nor
-/// an order with a lower fencing token after one with a higher.
+/// Outages of the key-value service while VMs freeze, are cut off, are killed and restarted, or reach the
+/// service when the holder doesn't, and while leases expire. In all cases no engine takes alternating orders of
+/// two holders, nor an order with a lower fencing token after one with a higher.
 #[test]
 fn outage_unfencedhasoneholder() {
     for seed in 0..60_u64 {
@@ -228,8 +229,8 @@
 }
 
 /// Only the holder can't reach the key-value service, and a moment later it can't reach the other VMs either.
-/// They reach the service, so they give no lease vote, and the holder stops before another VM takes its
-/// leadership.
+/// The other VMs reach the service, so they give no lease vote, and the holder stops before another VM takes
+/// its leadership.
 #[test]
 fn holder_cutoffhasnovotes() {
     for cut in [1_400, 1_600, 1_800, 2_000, 2_200] {
@@ -246,9 +247,9 @@
     }
 }
 
-/// The holder went on by lease votes. The key-value service comes back for the other VMs, without the holder's
-/// entry, at the moment at which they lose their links to the holder. Each waits until its vote has expired, so
-/// that the holder has stopped before.
+/// The holder schedules by lease votes in an outage. The key-value service comes back for the other VMs,
+/// without the holder's entry, at the moment at which they lose their links to the holder. Each waits until its
+/// vote has expired, so that the holder has stopped before.
 #[test]
 fn outage_votesarekept() {
     for apart in [0, 40, 80, 120, 160] {
@@ -290,8 +291,9 @@
     world.check_invariants();
 }
 
-/// The same when the strong VMs get their leases 0.2 s after the others and the first configuration is late:
-/// weak VMs delay their candidacies from when they may take the leadership, as stronger ones do.
+/// A strong VM takes the leadership also when the strong VMs get their leases 0.2 s after the others and the
+/// first configuration is late: weak VMs delay their candidacies from when they may take the leadership, as
+/// stronger ones do.
 #[test]
 fn holder_isnoweakonewithalateconfiguration() {
     let strengths = [12, 10, 25, 12, 50, 10, 25, 12];
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -16,6 +16,7 @@
 /// The pause between two requests.
 const PAUSE: Span = Span::from_millis(40);
 
+/// Returns a world of three VMs and four engines after two seconds of light load.
 fn warm_world() -> World {
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
--- a/crates/gateway/tests/strong.rs
+++ b/crates/gateway/tests/strong.rs
@@ -1,7 +1,7 @@
 //! Tests of which VM schedules when a few VMs are strong and most are weak, as in each of the larger
 //! deployments. A VM with an eighth of a core can't schedule a hundred engines: it falls behind and still keeps
-//! the leadership. When one got the leadership after an outage, or after all VMs had lost power, only a fifth
-//! of the requests was served.
+//! the leadership. When a weak VM got the leadership after an outage, or after all VMs had lost power, only a
+//! fifth of the requests was served.
 
 mod support;
 
@@ -9,11 +9,11 @@
 use dahliastile_gateway::settings::Tuning;
 use support::World;
 
-/// The number of VMs.
 const VMS: usize = 28;
 /// The number of strong VMs, which have the lowest numbers.
 const STRONG: usize = 4;
 
+/// Returns a world of a few strong and many weak VMs, six seconds after its start.
 fn uneven_world() -> World {
     let strength = |vm| if vm < STRONG { 50 } else { 12 };
     let strengths: Vec<u32> = (0..VMS).map(strength).collect();
@@ -64,7 +64,8 @@
 }
 
 /// The strongest VMs notice by their links that the holder has failed, before its heartbeats are overdue. The
-/// first of them doesn't wait for its rank as if the failed holder were still a candidate.
+/// first of them takes the leadership without a delay, and doesn't rank itself as if the failed holder were
+/// still a candidate.
 #[test]
 fn holder_killedisreplacedatonce() {
     let mut world = uneven_world();
