--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,10 +1,13 @@
-//! A caller's request on this VM, and what is known of the servers that it may go to.
+//! Requests of callers on this VM: their state, and what the VM knows about the servers that they can be sent
+//! to.
 //!
-//! * `state`: its life, from arrival to its one final answer.
-//! * [`budget`]: second sends over all VMs.
-//! * `load_balancer`: which server one of a plain service goes to; [`health`]: what answers say of a server's health; [`notice`]: what
-//!   servers say of themselves.
-//! * [`fingerprint`]: by what one that comes again is known; [`quarantine`]: those that crash the servers that run them.
+//! * `state`: the state of a request from arrival to final answer.
+//! * [`budget`]: the retry budget that all VMs share.
+//! * `load_balancer`: the choice of a server where no scheduler places requests.
+//! * [`health`]: the health of servers, derived from their answers.
+//! * [`notice`]: what servers say about themselves in their answers.
+//! * [`fingerprint`]: the hash by which repetitions of a request are recognized.
+//! * [`quarantine`]: requests that crash the servers that run them.
 
 pub mod budget;
 pub mod fingerprint;
--- a/crates/gateway/src/request/budget.rs
+++ b/crates/gateway/src/request/budget.rs
@@ -1,61 +1,62 @@
-//! The budget of second sends, which all VMs share without talking: each spends no more than its part.
+//! Retry budget of a service. The VMs share it without exchanging messages: each one spends at most its part.
 
 use std::collections::VecDeque;
 
 use dahliastile_core::time::{Instant, Span};
 
-/// The budget of one service on one VM, over a sliding window.
+/// Retry budget of one service on one VM, over a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    /// Requests in the window.
+    /// Arrival times of the requests in the window.
     requests: VecDeque<Instant>,
-    /// Second sends in the window.
-    repeats: VecDeque<Instant>,
+    /// Times of the retries in the window.
+    retries: VecDeque<Instant>,
 }
 
-/// What a budget allows in a window.
+/// Bounds of a retry budget.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// Second sends for each request.
-    pub ratio: f64,
-    /// Second sends besides, on this VM.
-    pub extra: f64,
-    /// The length of the window.
+pub struct RetryLimits {
+    /// Allowed retries per request in the window.
+    pub retries_per_request: f64,
+    /// Allowed retries in addition to that, on this VM.
+    pub extra_retries: f64,
+    /// Length of the window.
     pub window: Span,
 }
 
 impl RetryBudget {
-    /// Counts a request, and forgets what has left the window.
-    pub fn request(&mut self, now: Instant, window: Span) {
-        self.forget(now.back(window));
+    /// Records a request, and drops what is older than the window.
+    pub fn record_request(&mut self, now: Instant, window: Span) {
+        self.drop_before(now.back(window));
 
         self.requests.push_back(now);
     }
 
-    /// How many moments are kept.
+    /// Returns the number of recorded requests and retries.
     #[must_use]
-    pub fn kept(&self) -> usize {
-        self.requests.len() + self.repeats.len()
+    pub fn recorded_count(&self) -> usize {
+        self.requests.len() + self.retries.len()
     }
 
-    /// Spends one second send, if the budget allows it.
+    /// Records a retry if the budget allows one, and returns whether it does.
     #[allow(clippy::cast_precision_loss)]
-    pub fn spend(&mut self, now: Instant, terms: Terms) -> bool {
-        self.forget(now.back(terms.window));
-        let allowed = self.requests.len() as f64 * terms.ratio + terms.extra;
-        let free = (self.repeats.len() as f64) + 1.0 <= allowed;
-        if free {
-            self.repeats.push_back(now);
+    pub fn try_spend(&mut self, now: Instant, limits: RetryLimits) -> bool {
+        self.drop_before(now.back(limits.window));
+        let allowed =
+            self.requests.len() as f64 * limits.retries_per_request + limits.extra_retries;
+        let is_allowed = (self.retries.len() as f64) + 1.0 <= allowed;
+        if is_allowed {
+            self.retries.push_back(now);
         }
-        free
+        is_allowed
     }
 
-    fn forget(&mut self, before: Instant) {
+    fn drop_before(&mut self, before: Instant) {
         while self.requests.front().is_some_and(|at| *at < before) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(|at| *at < before) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(|at| *at < before) {
+            self.retries.pop_front();
         }
     }
 }
--- a/crates/gateway/src/request/fingerprint.rs
+++ b/crates/gateway/src/request/fingerprint.rs
@@ -1,24 +1,26 @@
-//! What a request that comes again has in common with what came before: its method, host, path, query and body. The caller's id of it
-//! is new each time.
+//! Fingerprint of a request: a hash of its method, host, path, query and body. It identifies repetitions of a
+//! request, for which callers use a new request id each time.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// The same for requests that ask the same, on each VM. Nobody can make a request that bears another one's.
+/// Hash of a request's content, the same on every VM. Being cryptographic, it keeps callers from crafting a
+/// request that has the fingerprint of another one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// The fingerprint of a request made of these parts.
+    /// Computes the fingerprint of a request with these parts.
     #[must_use]
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
-            // With its length, so that no two lists of parts are the same bytes.
+            // The length delimits the part, so that different lists of parts never feed the same bytes to the
+            // hash.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -34,17 +36,19 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The text is not a fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no fingerprint: 32 hexadecimal digits")]
-pub struct Malformed(String);
+#[error("{0:?} is not a fingerprint: expected 32 hexadecimal digits")]
+pub struct ParseFingerprintError(String);
 
 impl FromStr for Fingerprint {
-    type Err = Malformed;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
         let digits = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = u128::from_str_radix(text, 16).ok().filter(|_| digits);
-        number.map(Self).ok_or_else(|| Malformed(text.to_owned()))
+        number
+            .map(Self)
+            .ok_or_else(|| ParseFingerprintError(text.to_owned()))
     }
 }
--- a/crates/gateway/src/request/health.rs
+++ b/crates/gateway/src/request/health.rs
@@ -1,89 +1,92 @@
-//! What this VM's own requests say of a server's health. Nothing is probed.
+//! Health of a server, derived from the answers to this VM's own requests. There are no active health checks.
 
 use dahliastile_core::time::{Instant, Span};
 
-/// The weight of one answer in the share of failures: a server that fails half of its requests is seen to after
+/// Weight of one answer in the failure rate. A server that fails half of its requests is deprioritized after
 /// about eight of them.
-const WEIGHT: f64 = 0.12;
+const ANSWER_WEIGHT: f64 = 0.12;
 
-/// The share of failures from which a server comes last.
-const BAD: f64 = 0.25;
+/// Failure rate above which a server is deprioritized.
+const MAX_FAILURE_RATE: f64 = 0.25;
 
-/// How long a server comes last after a failed connection, before one request tries it again.
-const FIRST_PAUSE: Span = Span::from_millis(400);
+/// How long a server is deprioritized after a failed connection, before a request tries it again.
+const MIN_BACKOFF: Span = Span::from_millis(400);
 
-/// The longest such pause: about the time a crashed server takes to start again.
-const LONGEST_PAUSE: Span = Span::from_millis(3_000);
+/// Upper bound on this time, which doubles with each failed connection: about the time a crashed server takes
+/// to restart.
+const MAX_BACKOFF: Span = Span::from_millis(3_000);
 
-/// The time in which the share of failures halves without news: a server that comes last gets a trial every second or
-/// two, which is about how long a fault that passes lasts.
+/// Time in which the failure rate halves while there are no answers. With it a deprioritized server gets a
+/// trial request every second or two; transient faults last about as long.
 const HALF_LIFE: Span = Span::from_millis(1_500);
 
-/// One server's health.
+/// Health of one server.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// The share of failures among the last answers, as of `at`.
-    failures: f64,
-    /// When that was computed.
-    at: Instant,
-    /// Until when it comes last.
-    until: Instant,
-    /// The last pause.
-    pause: Span,
+    /// Exponentially weighted failure rate at the time `updated_at`.
+    failure_rate: f64,
+    /// When the failure rate was last updated.
+    updated_at: Instant,
+    /// Until when the server is deprioritized after a failed connection.
+    deprioritized_until: Instant,
+    /// Length of the last such period, zero after a success.
+    backoff: Span,
 }
 
 impl Health {
-    /// Counts an answer.
+    /// Records a successful answer.
     pub fn record_success(&mut self, now: Instant) {
-        self.count(now, 0.0);
-        self.pause = Span::ZERO;
+        self.record(now, 0.0);
+        self.backoff = Span::ZERO;
     }
 
-    /// Counts a failure of the server's work.
+    /// Records a failed answer.
     pub fn record_failure(&mut self, now: Instant) {
-        self.count(now, 1.0);
+        self.record(now, 1.0);
     }
 
-    /// Counts a server that does not react at all; it comes last for a while, twice as long each time.
+    /// Records a failed connection, which deprioritizes the server for a time that doubles with each failure.
+    /// Further failures within that time do not extend it.
     pub fn record_connection_failure(&mut self, now: Instant) {
         self.record_failure(now);
-        if now < self.until {
+        if now < self.deprioritized_until {
             return;
         }
-        self.pause = self.pause.times(2).max(FIRST_PAUSE).min(LONGEST_PAUSE);
-        self.until = now + self.pause;
+        self.backoff = self.backoff.times(2).max(MIN_BACKOFF).min(MAX_BACKOFF);
+        self.deprioritized_until = now + self.backoff;
     }
 
-    /// Whether the server comes last.
+    /// Returns whether the server is deprioritized.
     #[must_use]
-    pub fn shunned(&self, now: Instant) -> bool {
-        now < self.until || self.failures(now) > BAD
+    pub fn is_deprioritized(&self, now: Instant) -> bool {
+        now < self.deprioritized_until || self.failure_rate(now) > MAX_FAILURE_RATE
     }
 
-    /// The share of failures.
+    /// Returns the failure rate, between 0 and 1.
     #[must_use]
-    pub fn failures(&self, now: Instant) -> f64 {
-        let halves = now.since(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        self.failures * (-halves).exp2()
+    pub fn failure_rate(&self, now: Instant) -> f64 {
+        let half_lives = now.since(self.updated_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        self.failure_rate * (-half_lives).exp2()
     }
 
-    fn count(&mut self, now: Instant, failed: f64) {
-        let share = self.failures(now);
-        self.failures = share + (failed - share) * WEIGHT;
-        self.at = now;
+    fn record(&mut self, now: Instant, failed: f64) {
+        let rate = self.failure_rate(now);
+        self.failure_rate = rate + (failed - rate) * ANSWER_WEIGHT;
+        self.updated_at = now;
     }
 }
 
-/// The servers that come last, by their place in the list: those that failed most, but never more than a third of all.
-/// Where more fail, the fault is not theirs alone, and work has nowhere better to go.
+/// Returns the indexes of the deprioritized servers with the highest failure rates: at most a third of all
+/// servers. If more of them fail, the fault is probably a common one, and the other servers are no better
+/// choice.
 #[must_use]
 pub fn deprioritized(now: Instant, servers: &[&Health]) -> Vec<usize> {
-    let shunned = servers
+    let deprioritized = servers
         .iter()
         .enumerate()
-        .filter(|(_, health)| health.shunned(now));
-    let mut worst: Vec<(usize, f64)> = shunned
-        .map(|(at, health)| (at, health.failures(now)))
+        .filter(|(_, health)| health.is_deprioritized(now));
+    let mut worst: Vec<(usize, f64)> = deprioritized
+        .map(|(at, health)| (at, health.failure_rate(now)))
         .collect();
     worst.sort_by(|(_, a), (_, b)| b.total_cmp(a));
     worst.truncate(servers.len() / 3);
--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -1,4 +1,4 @@
-//! Servers as this VM sees them, and which one a request of a plain service goes to.
+//! Servers as this VM sees them, and the choice of a server for requests that no scheduler places.
 
 use std::sync::Arc;
 
@@ -13,24 +13,26 @@
 use crate::request::health::Health;
 use crate::settings::Settings;
 
-/// How many requests more a server of the VM's own zone may have than another one before that is taken instead: bytes
-/// between zones cost, and a queue of one costs about as much time as the way there.
-const ZONE_WORTH: f64 = 0.35;
+/// Load, in requests per batch slot, by which a server in this VM's availability zone may exceed a server in
+/// another zone and still be chosen. Traffic between zones is billed, and a queue of one request costs about
+/// as much time as the way to the other zone.
+const CROSS_ZONE_COST: f64 = 0.35;
 
-/// How far two nearly equal servers are told apart by chance, so that all VMs do not choose the same.
-const CHANCE: f64 = 0.1;
+/// Upper bound of the random part of a server's cost, which keeps VMs from all choosing the same of several
+/// nearly equal servers.
+const MAX_RANDOM_COST: f64 = 0.1;
 
-/// What is added to the load of a server that comes last: more than any load.
-const SHUNNED: f64 = 1_000.0;
+/// Cost of a deprioritized server: more than any load.
+const DEPRIORITIZED_COST: f64 = 1_000.0;
 
-/// One server as this VM sees it.
+/// A server as this VM sees it.
 #[derive(Debug)]
 pub(crate) struct ServerState {
-    /// How the server describes itself.
+    /// The server's entry in the key-value service.
     pub(crate) backend: Arc<Backend>,
-    /// Requests of this VM there.
+    /// Number of this VM's open requests at the server.
     pub(crate) open: u32,
-    /// What they say of its health.
+    /// Health of the server, derived from the answers to this VM's requests.
     pub(crate) health: Health,
 }
 
@@ -43,7 +45,8 @@
         }
     }
 
-    /// The server describes itself anew. Says whether it has started again, in which case nothing of its health holds.
+    /// Replaces the server's entry. Resets its health if the server has restarted, and returns whether it
+    /// has.
     pub(crate) fn update_backend(&mut self, backend: &Arc<Backend>) -> bool {
         let restarted = self.backend.start != backend.start;
         if restarted {
@@ -53,59 +56,67 @@
         restarted
     }
 
-    /// The cost of sending a request there, compared with other servers of its service.
+    /// Returns the cost of sending a request to this server, for comparison within its service: load,
+    /// distance and failures.
     fn cost(&self, zone: &Zone, now: Instant, without: DisabledFeatures) -> f64 {
         let slots = f64::from(self.backend.slots.max(1));
         let load = f64::from(self.open) / slots;
-        let zones = without.uses(Feature::ZonePreference);
-        let away = if !zones || self.backend.zone == *zone {
+        let prefers_own_zone = without.uses(Feature::ZonePreference);
+        let distance = if !prefers_own_zone || self.backend.zone == *zone {
             0.0
         } else {
-            ZONE_WORTH
+            CROSS_ZONE_COST
         };
-        let failing = match without.uses(Feature::HealthRanking) {
-            true if self.health.shunned(now) => SHUNNED + self.health.failures(now),
-            true => self.health.failures(now),
+        let failure_cost = match without.uses(Feature::HealthRanking) {
+            true if self.health.is_deprioritized(now) => {
+                DEPRIORITIZED_COST + self.health.failure_rate(now)
+            }
+            true => self.health.failure_rate(now),
             false => 0.0,
         };
-        load + away + failing
+        load + distance + failure_cost
     }
 }
 
 impl Gateway {
-    /// The server that a request goes to which no scheduler places: one that leaves only where there is no other.
+    /// Chooses a server for a request that no scheduler places. A leaving server is chosen only if there is
+    /// no other.
     pub(crate) fn choose_server(
         &mut self,
         service: &Service,
         failed: &[Server],
-        fits: impl Fn(&Server) -> bool,
+        is_allowed: impl Fn(&Server) -> bool,
     ) -> Option<Server> {
-        let (now, last) = (self.now, self.last_resort_period());
-        let of = |(server, row): &(&Server, &ServerState)| {
-            row.backend.service == *service && fits(server) && self.notices.open(server, now)
+        let (now, last_resort_period) = (self.now, self.last_resort_period());
+        let is_candidate = |(server, state): &(&Server, &ServerState)| {
+            state.backend.service == *service
+                && is_allowed(server)
+                && self.notices.is_open(server, now)
         };
-        let rows = self.servers.iter().filter(of);
-        let stays = rows
+        let servers = self.servers.iter().filter(is_candidate);
+        let staying = servers
             .clone()
             .filter(|(server, _)| self.notices.leaving(server).is_none());
-        let leaves = rows.filter(|(server, _)| !self.notices.has_left(server, now, last));
+        let leaving_servers =
+            servers.filter(|(server, _)| !self.notices.has_left(server, now, last_resort_period));
         let (settings, rng) = (&self.settings, &mut self.rng);
-        cheapest(stays, failed, settings, now, rng)
-            .or_else(|| cheapest(leaves, failed, settings, now, rng))
+        cheapest(staying, failed, settings, now, rng)
+            .or_else(|| cheapest(leaving_servers, failed, settings, now, rng))
     }
 }
 
-/// The server that a request goes to: the one that costs least among those that take work and have not failed it.
+/// Returns the server with the lowest cost of those that are ready and have not failed the request.
 fn cheapest<'a>(
-    rows: impl Iterator<Item = (&'a Server, &'a ServerState)>,
+    servers: impl Iterator<Item = (&'a Server, &'a ServerState)>,
     failed: &[Server],
     settings: &Settings,
     now: Instant,
     rng: &mut ChaCha8Rng,
 ) -> Option<Server> {
-    let open = rows.filter(|(server, row)| row.backend.ready && !failed.contains(server));
-    let cost = |row: &ServerState| row.cost(&settings.zone, now, settings.without);
-    let costs = open.map(|(server, row)| (server, cost(row) + rng.random_range(0.0..CHANCE)));
+    let ready = servers.filter(|(server, state)| state.backend.ready && !failed.contains(server));
+    let cost = |state: &ServerState| state.cost(&settings.zone, now, settings.without);
+    let costs =
+        ready.map(|(server, state)| (server, cost(state) + rng.random_range(0.0..MAX_RANDOM_COST)));
     let best = costs.min_by(|(_, a), (_, b)| a.total_cmp(b));
     best.map(|(server, _)| server.clone())
 }
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -1,8 +1,9 @@
-//! What backend servers say of themselves in their answers, beside what they answer.
+//! Notices: what backend servers say about themselves in the heads of their answers.
 //!
-//! It comes sooner than the key-value service's word, and to one VM. That VM tells the one that counts what the server is sent: the
-//! service's scheduler, or else the VM that hashing names ([`permit`]); and that one tells all. Each VM must know whose answers to look at
-//! for the end of a limit, and which servers leave.
+//! A notice arrives earlier than a change of the server's entry in the key-value service, but at one VM only.
+//! That VM forwards it to the VM that counts the requests to the server: the scheduler of the service, or
+//! without a scheduler the VM chosen by rendezvous hashing ([`permit`]). The counting VM informs all others,
+//! because each VM must know which servers are leaving, and in whose answers to look for the end of a limit.
 
 mod cooldown;
 pub(crate) mod leaving;
@@ -24,12 +25,12 @@
 use crate::message::Message;
 use crate::node::Gateway;
 
-/// Requests a second, in thousandths.
+/// Requests per second, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rate(pub u64);
 
 impl Rate {
-    /// Requests a second.
+    /// Requests per second.
     #[must_use]
     #[allow(clippy::cast_precision_loss)]
     pub fn as_f64(self) -> f64 {
@@ -43,82 +44,82 @@
     }
 }
 
-/// A text that is no rate: no number, or below 0.
+/// The text is not a rate: it is not a number, or it is negative.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no number of requests a second")]
-pub struct NoRate(String);
+#[error("{0:?} is not a rate: expected a non-negative number of requests per second")]
+pub struct ParseRateError(String);
 
 impl FromStr for Rate {
-    type Err = NoRate;
+    type Err = ParseRateError;
 
-    // A rate beyond all bounds is the largest one.
+    // The cast saturates: a rate that does not fit becomes the largest one.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn from_str(text: &str) -> Result<Self, NoRate> {
+    fn from_str(text: &str) -> Result<Self, ParseRateError> {
         match text.trim().parse::<f64>() {
             Ok(rate) if rate >= 0.0 => Ok(Self((rate * 1_000.0) as u64)),
-            Ok(_) | Err(_) => Err(NoRate(text.to_owned())),
+            Ok(_) | Err(_) => Err(ParseRateError(text.to_owned())),
         }
     }
 }
 
-/// One thing that an answer may say.
+/// A field of a notice, as read from the head of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoticeField<T> {
-    /// It does not.
+    /// The answer lacks the field.
     #[default]
     Absent,
-    /// It does, and can't be read.
+    /// The answer has the field, with a value that can't be parsed.
     Unreadable,
-    /// It does.
+    /// The answer has the field, with this value.
     Present(T),
 }
 
-/// What one answer says of its server.
+/// What the head of one answer says about its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The requests a second that the server takes from all VMs together, for as long as it says so.
+    /// Requests per second that the server accepts from all VMs together, as long as its answers say so.
     pub limit: NoticeField<Rate>,
     /// Whether the server is leaving.
     pub leaving: bool,
-    /// How long the server, which turns a request away, wants nothing more of the VM that sent it.
+    /// How long the server, which rejected a request, wants no further ones from the VM that sent it.
     pub cooldown: NoticeField<Span>,
 }
 
 impl Notice {
-    /// Whether it says nothing.
+    /// Returns whether no field is present.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What servers said last.
+/// The latest notices of all servers, merged by server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerNotices {
-    /// By server.
-    rows: BTreeMap<Server, Row>,
+    /// State by server.
+    by_server: BTreeMap<Server, LatestNotice>,
 }
 
-/// What one server said last.
+/// What one server said last about itself.
 #[derive(Debug, Default)]
-struct Row {
-    /// The requests a second that it takes from all VMs together.
+struct LatestNotice {
+    /// Requests per second that it accepts from all VMs together.
     limit: Option<Rate>,
-    /// What it may still be sent of that, where this VM counts it.
+    /// Token bucket for this limit, if this VM counts the requests to the server.
     rate_limiter: Option<RateLimiter>,
-    /// Until when this VM sends it nothing.
-    closed: Instant,
-    /// Until when it wants nothing of this VM.
+    /// Until when this VM sends nothing to the server, because it was refused a permit or got no reply.
+    closed_until: Instant,
+    /// End of the cooldown that the server asked of this VM.
     cooldown_until: Instant,
-    /// When it was first heard to say that it is leaving.
+    /// When this VM first learned that the server is leaving.
     leaving: Option<Instant>,
-    /// The start of which that was heard.
+    /// Incarnation of the server that is leaving.
     start: Option<Incarnation>,
 }
 
-impl Row {
-    /// What holds for all VMs of what the server said.
-    fn for_all(&self, server: &Server) -> impl Iterator<Item = Message> {
+impl LatestNotice {
+    /// Returns the notices that concern all VMs, as messages.
+    fn messages_for_all(&self, server: &Server) -> impl Iterator<Item = Message> {
         let limit = self
             .limit
             .map(|_| Message::ServerRateLimit(server.clone(), self.limit));
@@ -130,42 +131,45 @@
 }
 
 impl ServerNotices {
-    /// The limit that a server names.
+    /// Returns the request rate limit of a server, if it has one.
     pub(crate) fn limit(&self, server: &Server) -> Option<Rate> {
-        self.rows.get(server)?.limit
+        self.by_server.get(server)?.limit
     }
 
-    /// Whether this VM may send to a server.
-    pub(crate) fn open(&self, server: &Server, now: Instant) -> bool {
-        self.opens(server) <= now
+    /// Returns whether this VM may send to a server.
+    pub(crate) fn is_open(&self, server: &Server, now: Instant) -> bool {
+        self.open_at(server) <= now
     }
 
-    /// From when on this VM may send to a server.
-    pub(crate) fn opens(&self, server: &Server) -> Instant {
-        self.rows
+    /// Returns the time from which this VM may send to a server.
+    pub(crate) fn open_at(&self, server: &Server) -> Instant {
+        self.by_server
             .get(server)
-            .map_or_else(Instant::default, |row| row.closed.max(row.cooldown_until))
+            .map_or_else(Instant::default, |notice| {
+                notice.closed_until.max(notice.cooldown_until)
+            })
     }
 
-    fn close(&mut self, server: &Server, until: Instant) {
-        if let Some(row) = self.rows.get_mut(server) {
-            row.closed = until;
+    fn close_until(&mut self, server: &Server, until: Instant) {
+        if let Some(notice) = self.by_server.get_mut(server) {
+            notice.closed_until = until;
         }
     }
 }
 
 impl Gateway {
-    /// An answer to this VM says something of its server, or says no more what an earlier one did.
+    /// Handles a notice in an answer to this VM. While a server has a limit its empty notices are delivered
+    /// too: they mean that the limit has ended.
     pub(crate) fn handle_notice(&mut self, server: &Server, notice: Notice, out: &mut Effects) {
         if !self.servers.contains_key(server) {
             return;
         }
-        Self::note_unreadable_word(server, notice, out);
+        Self::log_unreadable_fields(server, notice, out);
         if notice.leaving {
             self.report_leaving(server, out);
         }
         if let NoticeField::Present(cooldown) = notice.cooldown {
-            self.report_rest(server, cooldown, out);
+            self.report_cooldown(server, cooldown, out);
         }
         match notice.limit {
             NoticeField::Absent => self.report_limit(server, None, out),
@@ -174,43 +178,49 @@
         }
     }
 
-    /// Writes a line on what can't be read. Nothing is changed by it: what the server said before holds on.
-    fn note_unreadable_word(server: &Server, notice: Notice, out: &mut Effects) {
-        let words = [
+    /// Logs fields that can't be parsed. They change nothing: the value of an earlier answer remains in
+    /// force.
+    fn log_unreadable_fields(server: &Server, notice: Notice, out: &mut Effects) {
+        let fields = [
             ("limit", notice.limit == NoticeField::Unreadable),
             ("rest", notice.cooldown == NoticeField::Unreadable),
         ];
-        for (word, _) in words.iter().filter(|(_, unreadable)| *unreadable) {
-            let detail = format!("server={server} {word}=unreadable");
+        for (name, _) in fields.iter().filter(|(_, unreadable)| *unreadable) {
+            let detail = format!("server={server} {name}=unreadable");
             Self::log(out, Code::ServerNotice, detail);
         }
     }
 
-    /// Tells a VM that starts what servers have said that holds for all VMs.
+    /// Sends the notices that concern all VMs to a VM that has started.
     pub(crate) fn tell_notices(&self, to: &Vm, out: &mut Effects) {
-        for (server, row) in &self.notices.rows {
-            for message in row.for_all(server) {
+        for (server, notice) in &self.notices.by_server {
+            for message in notice.messages_for_all(server) {
                 self.send(to, message, out);
             }
         }
     }
 
-    /// All that servers of a service have said to this VM or others, as messages to a new scheduler of it.
+    /// Returns the notices of all servers of a service, whether received by this VM or from others, as
+    /// messages for a new scheduler.
     pub(crate) fn notice_messages(&self, service: &Service) -> Vec<Message> {
         let of = |server: &Server| self.service_of(server).as_ref() == Some(service);
-        let rows = self.notices.rows.iter().filter(|(server, _)| of(server));
-        let messages = rows.flat_map(|(server, row)| {
-            let cooldown = row.cooldown_until.since(self.now);
+        let by_server = self
+            .notices
+            .by_server
+            .iter()
+            .filter(|(server, _)| of(server));
+        let messages = by_server.flat_map(|(server, notice)| {
+            let cooldown = notice.cooldown_until.since(self.now);
             let cooldown =
                 (cooldown > Span::ZERO).then(|| Message::ServerCooldown(server.clone(), cooldown));
-            row.for_all(server).chain(cooldown)
+            notice.messages_for_all(server).chain(cooldown)
         });
         messages.collect()
     }
 
-    /// What a server said of itself is that of an earlier start.
+    /// Removes the notices of an earlier incarnation of a server.
     pub(crate) fn forget_notices(&mut self, server: &Server, out: &mut Effects) {
-        if self.notices.rows.remove(server).is_some() {
+        if self.notices.by_server.remove(server).is_some() {
             out.push(Effect::TrackAnswers(server.clone(), false));
         }
     }
--- a/crates/gateway/src/request/notice/cooldown.rs
+++ b/crates/gateway/src/request/notice/cooldown.rs
@@ -1,4 +1,4 @@
-//! Servers that turn requests away and ask this VM for rest.
+//! Cooldowns: a server that rejects a request may ask this VM to send it nothing for a while.
 
 use dahliastile_core::id::{Server, Vm};
 use dahliastile_core::log::Code;
@@ -11,21 +11,21 @@
 use crate::node::Gateway;
 
 impl Gateway {
-    /// An answer asks this VM for rest.
-    pub(super) fn report_rest(&mut self, server: &Server, span: Span, out: &mut Effects) {
+    /// Handles an answer that asks this VM for a cooldown.
+    pub(super) fn report_cooldown(&mut self, server: &Server, span: Span, out: &mut Effects) {
         let until = self.now + span;
-        let row = self.notices.rows.entry(server.clone()).or_default();
-        row.cooldown_until = row.cooldown_until.max(until);
+        let notice = self.notices.by_server.entry(server.clone()).or_default();
+        notice.cooldown_until = notice.cooldown_until.max(until);
         Self::log(
             out,
             Code::ServerNotice,
             format!("server={server} rest={span}"),
         );
-        self.send_rest(server, span, out);
+        self.send_cooldown(server, span, out);
     }
 
-    /// Tells the scheduler of a server that it asked this VM for rest.
-    fn send_rest(&mut self, server: &Server, span: Span, out: &mut Effects) {
+    /// Tells the scheduler of a server that the server asked this VM for a cooldown.
+    fn send_cooldown(&mut self, server: &Server, span: Span, out: &mut Effects) {
         let Some(service) = self.service_of(server) else {
             return;
         };
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A server has asked a VM for rest.
+    /// Passes the cooldown that a server asked of a VM to this VM's scheduler.
     pub(crate) fn handle_server_cooldown(&mut self, vm: &Vm, server: &Server, span: Span) {
         let service = self.service_of(server);
         if let Some(scheduler) = service.and_then(|service| self.schedulers.get_mut(&service)) {
@@ -45,12 +45,18 @@
         }
     }
 
-    /// Declines the place that the scheduler found for a request, and tells it why once more: it may not have heard. The request goes
-    /// elsewhere, as the scheduler may think otherwise of the server for a while.
-    pub(crate) fn decline_place(&mut self, request: RequestId, server: &Server, out: &mut Effects) {
+    /// Declines the scheduler's placement of a request on a server, and repeats the reason to the scheduler,
+    /// which may not have received it. Asks for a placement on another server, because the scheduler may
+    /// still count this one as available for a while.
+    pub(crate) fn decline_placement(
+        &mut self,
+        request: RequestId,
+        server: &Server,
+        out: &mut Effects,
+    ) {
         let cooldown = self.notices.cooldown_until(server).since(self.now);
         if cooldown > Span::ZERO {
-            self.send_rest(server, cooldown, out);
+            self.send_cooldown(server, cooldown, out);
         }
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.failed.push(server.clone());
@@ -63,18 +69,19 @@
         self.request_placement(request, out);
     }
 
-    /// When callers may come back to a service all of whose servers are closed to this VM until a time. They are told times that differ.
-    pub(crate) fn retry_after(&mut self, opens: Instant) -> Span {
-        let wait = opens.since(self.now);
+    /// Returns how long a caller should wait before a retry if all servers of a service are closed to this VM
+    /// until `open_at`. Random jitter of up to a quarter keeps callers from returning at the same time.
+    pub(crate) fn retry_after(&mut self, open_at: Instant) -> Span {
+        let wait = open_at.since(self.now);
         wait + Span(self.rng.random_range(0..=wait.0 / 4))
     }
 }
 
 impl super::ServerNotices {
-    /// Until when a server wants nothing of this VM.
+    /// Returns the end of the cooldown that a server asked of this VM.
     pub(crate) fn cooldown_until(&self, server: &Server) -> Instant {
-        self.rows
+        self.by_server
             .get(server)
-            .map_or_else(Instant::default, |row| row.cooldown_until)
+            .map_or_else(Instant::default, |notice| notice.cooldown_until)
     }
 }
--- a/crates/gateway/src/request/notice/leaving.rs
+++ b/crates/gateway/src/request/notice/leaving.rs
@@ -1,6 +1,7 @@
-//! Servers that say that they are leaving.
+//! Servers that announce in their answers that they are leaving.
 //!
-//! It holds for the server's present start, whatever the key-value service says of it: that may not know yet, or be away.
+//! The announcement holds for the present incarnation of the server, whatever its entry in the key-value
+//! service says: the service may not have been updated yet, or may be unavailable.
 
 use dahliastile_core::id::{Incarnation, Server, Vm};
 use dahliastile_core::log::Code;
@@ -11,14 +12,17 @@
 use crate::node::Gateway;
 use crate::scheduler::Scheduler;
 
-/// How long it is remembered of a server without an entry, which may come back as it was.
-const REMEMBERED: Span = Span::from_secs(600);
+/// How long the announcement of a server without an entry is remembered; the entry may return unchanged.
+const ANNOUNCEMENT_RETENTION: Span = Span::from_secs(600);
 
 impl Gateway {
-    /// An answer to this VM says that its server is leaving.
+    /// Handles an answer to this VM that announces that its server is leaving.
     pub(super) fn report_leaving(&mut self, server: &Server, out: &mut Effects) {
         let me = self.settings.vm.clone();
-        let start = self.servers.get(server).and_then(|row| row.backend.start);
+        let start = self
+            .servers
+            .get(server)
+            .and_then(|server_state| server_state.backend.start);
         let counting = self.counting_vm(server);
         if self.mark_leaving(&me, server, start, out) && counting != me {
             self.send(
@@ -29,7 +33,8 @@
         }
     }
 
-    /// A server is leaving, as an answer of this start of it to a VM says. Says whether that is new.
+    /// Records that a server is leaving, as its incarnation `start` announced to the VM `by`. Returns whether
+    /// this is new.
     pub(crate) fn mark_leaving(
         &mut self,
         by: &Vm,
@@ -38,15 +43,15 @@
         out: &mut Effects,
     ) -> bool {
         let now = self.now;
-        let Some(row) = self.servers.get(server) else {
+        let Some(server_state) = self.servers.get(server) else {
             return false;
         };
-        if row.backend.start != start || self.notices.leaving(server).is_some() {
+        if server_state.backend.start != start || self.notices.leaving(server).is_some() {
             return false;
         }
-        let service = row.backend.service.clone();
-        let notices = self.notices.rows.entry(server.clone()).or_default();
-        (notices.leaving, notices.start) = (Some(now), start);
+        let service = server_state.backend.service.clone();
+        let notice = self.notices.by_server.entry(server.clone()).or_default();
+        (notice.leaving, notice.start) = (Some(now), start);
         if let Some(scheduler) = self.schedulers.get_mut(&service) {
             scheduler.set_leaving(server, now);
         }
@@ -61,20 +66,20 @@
         true
     }
 
-    /// How long a server that leaves is used where no other one is there: it takes requests for a while, and what is sent late in that time
-    /// may reach it after.
+    /// Returns how long after its announcement a leaving server is used if there is no other server.
     pub(crate) fn last_resort_period(&self) -> Span {
         last_resort_period(self.settings.tuning.drain)
     }
 }
 
-/// The part of the time that leaving servers take requests for in which they are used where no other is there.
+/// Returns how long after its announcement a leaving server is used if there is no other server: half of the
+/// time in which it accepts requests, since a request that is sent late in that time may arrive after it.
 pub(crate) fn last_resort_period(drain: Span) -> Span {
     Span(drain.0 / 2)
 }
 
 impl super::ServerNotices {
-    /// Tells a scheduler what an engine has said of itself.
+    /// Passes the latest notices of an engine to a scheduler.
     pub(crate) fn inform_scheduler(
         &self,
         now: Instant,
@@ -94,34 +99,47 @@
         }
     }
 
-    /// When a server was first heard to say that it is leaving.
+    /// Returns when this VM first learned that a server is leaving; `None` if it is not leaving.
     pub(crate) fn leaving(&self, server: &Server) -> Option<Instant> {
-        self.rows.get(server)?.leaving
+        self.by_server.get(server)?.leaving
     }
 
-    /// Whether a server has said so longer ago than a span.
+    /// Returns whether a server has been leaving for at least `span`.
     pub(crate) fn has_left(&self, server: &Server, now: Instant, span: Span) -> bool {
         self.leaving(server).is_some_and(|at| now.since(at) >= span)
     }
 
-    /// A server has an entry again, of this start of it: what an earlier start said does not hold.
+    /// Drops the notices of a server that has an entry with another incarnation.
     pub(crate) fn server_listed(&mut self, server: &Server, start: Option<Incarnation>) {
-        if self.rows.get(server).is_some_and(|row| row.start != start) {
-            self.rows.remove(server);
+        if self
+            .by_server
+            .get(server)
+            .is_some_and(|notice| notice.start != start)
+        {
+            self.by_server.remove(server);
         }
     }
 
-    /// A server has no entry any more: that it leaves is remembered for a while.
+    /// Drops the notices of a server that has lost its entry, except that it is leaving, which is remembered
+    /// for a while.
     pub(crate) fn server_unlisted(&mut self, server: &Server, now: Instant) {
-        if let Some(row) = self.rows.remove(server).filter(|row| row.leaving.is_some()) {
-            let kept = super::Row {
-                leaving: row.leaving,
-                start: row.start,
-                ..super::Row::default()
+        if let Some(notice) = self
+            .by_server
+            .remove(server)
+            .filter(|notice| notice.leaving.is_some())
+        {
+            let kept = super::LatestNotice {
+                leaving: notice.leaving,
+                start: notice.start,
+                ..super::LatestNotice::default()
             };
-            self.rows.insert(server.clone(), kept);
+            self.by_server.insert(server.clone(), kept);
         }
-        let old = |row: &super::Row| row.leaving.is_some_and(|at| now.since(at) >= REMEMBERED);
-        self.rows.retain(|_, row| !old(row));
+        let is_expired = |notice: &super::LatestNotice| {
+            notice
+                .leaving
+                .is_some_and(|at| now.since(at) >= ANNOUNCEMENT_RETENTION)
+        };
+        self.by_server.retain(|_, notice| !is_expired(notice));
     }
 }
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -1,7 +1,8 @@
-//! Leave to send a request to a server that names a limit, where no scheduler places it.
+//! Permits to send to a server that has a rate limit, for requests that no scheduler places.
 //!
-//! All VMs ask the same one, by rendezvous hashing among those that are there, so that its count is the whole fleet's. While VMs disagree
-//! on which it is, two may count; each begins with nothing.
+//! All VMs ask the same VM, which is chosen among the live ones by rendezvous hashing, so that its token
+//! bucket counts the requests of the whole fleet. While the VMs disagree on their choice, two VMs may count;
+//! each of them starts with an empty bucket.
 
 use std::cmp::Reverse;
 
@@ -18,14 +19,15 @@
 use crate::request::state::Phase;
 use crate::timer::Timer;
 
-/// How long a permit is waited for: some round trips between availability zones.
-const ANSWER: Span = Span::from_millis(150);
+/// How long a VM waits for the reply to a permit request: several round trips between availability zones.
+const PERMIT_TIMEOUT: Span = Span::from_millis(150);
 
-/// How long a server is passed over whose permits nobody answers for.
-const UNANSWERED: Span = Span::from_millis(500);
+/// How long a VM sends nothing to a server after a permit request for it got no reply.
+const NO_REPLY_PAUSE: Span = Span::from_millis(500);
 
 impl Gateway {
-    /// Sends a request that no scheduler placed to a server, if that names a limit only by leave.
+    /// Sends a request that no scheduler placed to a server. Obtains a permit first if the server has a rate
+    /// limit.
     pub(crate) fn send_unscheduled(
         &mut self,
         request: RequestId,
@@ -37,7 +39,7 @@
             self.send_to(request, server, version, out);
             return;
         }
-        let until = self.now + ANSWER;
+        let until = self.now + PERMIT_TIMEOUT;
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
@@ -48,8 +50,8 @@
         };
         let issuer = self.permit_issuer(server);
         if issuer == self.settings.vm {
-            let answer = self.permit(server);
-            self.handle_permit_reply(request, server, answer, out);
+            let reply = self.take_permit(server);
+            self.handle_permit_reply(request, server, reply, out);
         } else {
             self.timers.set(until, Timer::Request(request));
             let message = Message::SendPermitRequest(request, server.clone());
@@ -57,7 +59,7 @@
         }
     }
 
-    /// The VM that counts what a server is sent without a scheduler.
+    /// Returns the VM that issues permits for a server.
     pub(crate) fn permit_issuer(&self, server: &Server) -> Vm {
         let me = &self.settings.vm;
         let vms = self.peers().chain([me]);
@@ -65,7 +67,7 @@
         first.unwrap_or(me).clone()
     }
 
-    /// A VM asks for leave to send a request to a server.
+    /// Handles a permit request of another VM.
     pub(crate) fn handle_permit_request(
         &mut self,
         from: &Vm,
@@ -73,35 +75,37 @@
         server: Server,
         out: &mut Effects,
     ) {
-        let answer = self.permit(&server);
-        self.send(from, Message::SendPermitReply(request, server, answer), out);
+        let reply = self.take_permit(&server);
+        self.send(from, Message::SendPermitReply(request, server, reply), out);
     }
 
-    /// Counts a request to a server that names a limit, or says when to ask again.
-    fn permit(&mut self, server: &Server) -> Result<(), Span> {
+    /// Takes a token for a request to a server. Without a token, returns the time after which to ask again as
+    /// an error.
+    fn take_permit(&mut self, server: &Server) -> Result<(), Span> {
         let now = self.now;
-        let Some(row) = self.notices.rows.get_mut(server) else {
+        let Some(notice) = self.notices.by_server.get_mut(server) else {
             return Ok(());
         };
-        let Some(limit) = row.limit else {
+        let Some(limit) = notice.limit else {
             return Ok(());
         };
-        let rate_limiter = row
+        let rate_limiter = notice
             .rate_limiter
             .get_or_insert_with(|| RateLimiter::new(now, limit));
         if rate_limiter.try_take(now) {
             Ok(())
         } else {
-            Err(rate_limiter.promise(now))
+            Err(rate_limiter.reserve(now))
         }
     }
 
-    /// A request may be sent to a server, or none of this VM may be before a time.
+    /// Handles the reply to a permit request: the permit, or the time for which this VM may not send to the
+    /// server.
     pub(crate) fn handle_permit_reply(
         &mut self,
         request: RequestId,
         server: &Server,
-        answer: Result<(), Span>,
+        reply: Result<(), Span>,
         out: &mut Effects,
     ) {
         let version = match self.in_flight.get(&request).map(|state| &state.phase) {
@@ -112,23 +116,23 @@
             }) if of == server => *version,
             _ => return,
         };
-        let listed = self.takes_work(server);
-        match answer {
-            Ok(()) if listed => self.send_to(request, server, version, out),
+        let accepts = self.accepts_requests(server);
+        match reply {
+            Ok(()) if accepts => self.send_to(request, server, version, out),
             Ok(()) => self.find_server(request, out),
             Err(after) => {
-                self.notices.close(server, self.now + after);
+                self.notices.close_until(server, self.now + after);
                 self.find_server(request, out);
             }
         }
     }
 
-    /// Goes on with a request whose permit did not come in time.
-    pub(crate) fn permit_due(&mut self, request: RequestId, out: &mut Effects) {
+    /// Looks for another server for a request whose permit did not come in time.
+    pub(crate) fn handle_permit_timeout(&mut self, request: RequestId, out: &mut Effects) {
         match self.in_flight.get(&request).map(|state| &state.phase) {
             Some(Phase::Permit { server, until, .. }) if *until <= self.now => {
                 let server = server.clone();
-                self.notices.close(&server, self.now + UNANSWERED);
+                self.notices.close_until(&server, self.now + NO_REPLY_PAUSE);
                 self.find_server(request, out);
             }
             _ => {}
--- a/crates/gateway/src/request/notice/rate_limiter.rs
+++ b/crates/gateway/src/request/notice/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! What a server that names a limit may still be sent.
+//! Token bucket for the requests to a server that has a rate limit.
 
 use dahliastile_core::time::{Instant, Span};
 
@@ -6,81 +6,85 @@
 use crate::account::Tokens;
 use crate::account::quota::bucket::{Bucket, Terms, wait};
 
-/// What a limited server may be sent at once: an adapter that makes room, the load of another one, and a request for that.
-const AT_ONCE: f64 = 3.0;
+/// Upper bound on the tokens in the bucket. An adapter that is not loaded takes three: to unload another
+/// adapter, to load it, and for the request.
+const BURST: f64 = 3.0;
 
-/// The least rate that a limit is taken for. Only an answer tells that a limit has ended, so that a server is never sent nothing.
-const LEAST: Rate = Rate(100);
+/// Lowest rate that is applied. The end of a limit shows only in an answer, so that even a server with a
+/// limit of 0 must be sent a request from time to time.
+const MIN_RATE: Rate = Rate(100);
 
-/// The longest time after which there may be something left to send: nobody waits longer.
-const LONGEST_WAIT: Span = Span::from_secs(5);
+/// Longest time that a VM is told to wait for a token.
+const MAX_WAIT: Span = Span::from_secs(5);
 
-/// Requests that come in at the rate of a limit, none at first: what was sent before the limit was heard of counts against it.
+/// Token bucket that fills at the rate of a server's limit, one token per request. It is empty at first,
+/// since requests that were sent before the limit was known count against it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateLimiter {
     /// The limit.
     rate: Rate,
-    /// When a server last named it.
-    heard: Instant,
-    /// What may be sent.
+    /// When an answer of the server last confirmed the limit.
+    confirmed_at: Instant,
+    /// The tokens.
     bucket: Bucket,
-    /// Until when all that comes in is promised to others.
-    promised: Instant,
+    /// Until when all new tokens are promised to VMs that were told to wait.
+    promised_until: Instant,
 }
 
 impl RateLimiter {
     pub(crate) fn new(now: Instant, rate: Rate) -> Self {
         Self {
             rate,
-            heard: now,
+            confirmed_at: now,
             bucket: Bucket::new(now),
-            promised: now,
+            promised_until: now,
         }
     }
 
-    /// The server names its limit once more.
+    /// Sets the rate from an answer of the server.
     pub(crate) fn set_rate(&mut self, now: Instant, rate: Rate) {
         self.bucket.refill(now, self.terms());
         self.rate = rate;
-        self.heard = now;
+        self.confirmed_at = now;
     }
 
-    /// The limit, and how long ago a server named it.
+    /// Returns the limit, and how long ago an answer confirmed it.
     pub(crate) fn limit(&self, now: Instant) -> (Rate, Span) {
-        (self.rate, now.since(self.heard))
+        (self.rate, now.since(self.confirmed_at))
     }
 
-    /// Requests a second.
+    /// Returns the rate at which the bucket fills, in tokens per second.
     pub(crate) fn rate(&self) -> f64 {
-        self.rate.max(LEAST).as_f64()
+        self.rate.max(MIN_RATE).as_f64()
     }
 
-    /// What may be sent now.
+    /// Returns the tokens in the bucket.
     pub(crate) fn available(&self, now: Instant) -> f64 {
         let mut bucket = self.bucket;
         bucket.refill(now, self.terms());
         bucket.balance()
     }
 
-    /// Counts one that is sent, if it may be.
+    /// Takes a token, and returns whether there was one.
     pub(crate) fn try_take(&mut self, now: Instant) -> bool {
         self.bucket.refill(now, self.terms());
         self.bucket.take(Tokens(1))
     }
 
-    /// When one that may not be sent now may be, after all that were told so before.
-    pub(crate) fn promise(&mut self, now: Instant) -> Span {
+    /// Returns how long to wait for a token, and promises that token: it comes after those of all earlier
+    /// calls.
+    pub(crate) fn reserve(&mut self, now: Instant) -> Span {
         let one = wait(1.0, self.rate());
         let next = wait(1.0 - self.available(now), self.rate());
-        self.promised = (self.promised + one).max(now + next);
-        self.promised = self.promised.min(now + LONGEST_WAIT);
-        self.promised.since(now)
+        self.promised_until = (self.promised_until + one).max(now + next);
+        self.promised_until = self.promised_until.min(now + MAX_WAIT);
+        self.promised_until.since(now)
     }
 
     fn terms(&self) -> Terms {
         Terms {
             rate: self.rate(),
-            most: AT_ONCE,
+            most: BURST,
         }
     }
 }
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -1,22 +1,26 @@
-//! Requests that crash the servers that run them, and how all VMs together stop sending them.
+//! Quarantine of requests that crash the servers that run them.
 //!
-//! Such a request comes again and again, at any VM, and each server it reaches ends with all that runs there. No VM sees more than a part
-//! of that, so what each has seen is put together:
-//! * `suspects`: a VM that had requests at a server when their connections broke asks whether the server still listens. If it has ended, each
-//!   of them has a strike: it may be the cause, or have run beside it.
-//! * `strikes`: they go to the few VMs that count for a request's fingerprint, by rendezvous hashing, and cost no more with more
-//!   VMs. Only what was sent after the last server had ended counts anew, so a moment in which many servers end counts once.
-//! * From the second strike on all VMs watch for a whole answer to such a request, which takes its strikes away: what is asked for often
-//!   is often at a server that ends, and served most of the time.
-//! * With the third strike it is in quarantine: all VMs are told, and refuse it at once as not run. `record` keeps that in the key-value
-//!   service, for VMs that start later and for operators, who lift it by removing the key.
+//! Callers repeat such a request at any VM, and each server that it reaches crashes together with everything
+//! it runs. A single VM sees only some of these crashes, so the VMs combine what they see:
+//! * `suspects`: a VM whose connections to a server broke probes whether the server still accepts
+//!   connections. If the server has crashed, the VM sends a crash report for each request that it had there:
+//!   the request may be the cause, or may only have run at the same time.
+//! * `crash_counter`: crash reports go to the few VMs that count for the fingerprint of the request, chosen
+//!   by rendezvous hashing, so that their cost does not grow with the number of VMs. A report counts only if
+//!   the request was sent after the previous counted crash, so that many servers crashing at once count as
+//!   one.
+//! * From the second counted crash all VMs watch for a complete answer to the request, which resets its
+//!   count. A frequent request is often at a server that crashes, but is answered most of the time.
+//! * With the third counted crash the request is quarantined: all VMs are informed, and refuse it at once as
+//!   not run. `record` keeps this in the key-value service, for VMs that start later and for operators, who
+//!   end the quarantine by removing the record.
 //!
-//! None of it needs a scheduler, and but for the record none of it the key-value service. A VM that was not told causes one more strike,
-//! and is told in answer to it.
+//! No scheduler is needed for this, and the key-value service only for the record. A VM that was not informed
+//! causes one more crash, and is informed in reply to its report.
 
-mod aged;
+mod crash_counter;
+mod expiring_map;
 mod record;
-mod strikes;
 mod suspects;
 
 use std::cmp::Reverse;
@@ -27,8 +31,8 @@
 use dahliastile_core::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-use self::aged::Aged;
-use self::strikes::{Count, Tally};
+use self::crash_counter::{CrashCounter, CrashEffect};
+use self::expiring_map::ExpiringMap;
 use self::suspects::Suspect;
 use crate::cluster::membership;
 use crate::effect::{Effect, Effects, KvOperationId};
@@ -36,52 +40,55 @@
 use crate::message::Message;
 use crate::node::Gateway;
 use crate::request::fingerprint::Fingerprint;
-use crate::request::state::{self, RefusalDetail};
+use crate::request::state::{Phase, RefusalDetail, RequestState};
 
-pub use self::strikes::CrashReport;
+pub use self::crash_counter::CrashReport;
 
-/// How long a request is refused: the longest lease that the key-value service grants, under which its record lies. After that one
-/// more strike is enough.
+/// Duration of a quarantine: the longest lease that the key-value service grants, since the record depends on
+/// one. After a quarantine one further counted crash starts a new one.
 pub const QUARANTINE_DURATION: Span = Span::from_secs(600);
 
-/// How long strikes are remembered: beyond a quarantine, so that a request that is tried after it needs no three servers again.
-const REMEMBERED: Span = Span::from_secs(1_800);
+/// How long counted crashes are remembered: longer than a quarantine, so that a request that is tried after
+/// its quarantine does not need to crash three more servers.
+const CRASH_RETENTION: Span = Span::from_secs(1_800);
 
-/// VMs that count the strikes of one request: one may end, and one not be known to the VM that tells.
-const COUNTERS: usize = 3;
+/// Number of VMs that count the crash reports of one request: one may fail, and another may be unknown to the
+/// VM that reports.
+const COUNTING_VMS: usize = 3;
 
-/// Requests in quarantine, and such that are watched, that a VM knows at most; the oldest go first.
-const MOST: usize = 4_096;
+/// Upper bound on the quarantined requests that a VM remembers, and on the watched ones; the oldest are
+/// dropped.
+const MAX_REQUESTS: usize = 4_096;
 
-/// Requests that a VM tells another one of in one message.
-const TOLD_AT_ONCE: usize = 256;
+/// Upper bound on the requests in a message that informs one VM about quarantined requests.
+const MAX_STATUSES_PER_MESSAGE: usize = 256;
 
-/// Requests that the line on a server's end names at most.
-const NAMED: usize = 8;
+/// Upper bound on the requests named in the log line about a server that ended.
+const MAX_LOGGED_REQUESTS: usize = 8;
 
-/// What is known of a request that servers have ended under.
+/// Status of a request that was at servers when they crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineStatus {
-    /// It has strikes, and a whole answer takes them away.
+    /// Crashes are counted; a complete answer resets the count.
     Watched,
-    /// It is refused for so long.
+    /// It is refused for this time.
     Quarantined(Span),
-    /// It got a whole answer.
+    /// It got a complete answer.
     Cleared,
 }
 
-/// Requests that servers have ended under, as far as this VM knows.
+/// What this VM knows about requests that were at servers when they crashed.
 #[derive(Debug)]
 pub(crate) struct State {
     /// Requests whose connections broke, by server.
     suspects: suspects::State,
-    /// Strikes that this VM counts.
-    tally: Tally,
-    /// Requests whose whole answer takes their strikes away.
-    watched: Aged<()>,
-    /// Requests that are refused, each until when.
-    quarantined: Aged<Instant>,
-    /// What this VM writes to the key-value service.
+    /// Crashes that this VM counts.
+    crash_counter: CrashCounter,
+    /// Requests whose count is reset by a complete answer.
+    watched: ExpiringMap<()>,
+    /// Quarantined requests, each with the end of its quarantine.
+    quarantined: ExpiringMap<Instant>,
+    /// Pending writes to the key-value service.
     records: record::State,
 }
 
@@ -89,224 +96,234 @@
     fn default() -> Self {
         Self {
             suspects: suspects::State::default(),
-            tally: Tally::new(REMEMBERED),
-            watched: Aged::new(MOST, REMEMBERED),
-            quarantined: Aged::new(MOST, QUARANTINE_DURATION),
+            crash_counter: CrashCounter::new(CRASH_RETENTION),
+            watched: ExpiringMap::new(MAX_REQUESTS, CRASH_RETENTION),
+            quarantined: ExpiringMap::new(MAX_REQUESTS, QUARANTINE_DURATION),
             records: record::State::default(),
         }
     }
 }
 
 impl State {
-    /// How long a request is still refused; none where it isn't.
-    pub(crate) fn left(&self, fingerprint: Fingerprint, now: Instant) -> Option<Span> {
+    /// Returns how much of the quarantine of a request is left; `None` if it is not in quarantine.
+    pub(crate) fn remaining(&self, fingerprint: Fingerprint, now: Instant) -> Option<Span> {
         let until = self.quarantined.get(&fingerprint)?;
-        Some(until.since(now)).filter(|left| *left > Span::ZERO)
+        Some(until.since(now)).filter(|remaining| *remaining > Span::ZERO)
     }
 
-    /// Whether a call of the key-value service is one on records.
+    /// Returns whether a call of the key-value service with this id concerns records.
     pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.records.owns(op)
     }
 
-    /// Whether a whole answer to a request matters.
-    fn watches(&self, fingerprint: Fingerprint) -> bool {
+    /// Returns whether a complete answer to a request changes its status.
+    fn is_tracked(&self, fingerprint: Fingerprint) -> bool {
         self.watched.get(&fingerprint).is_some() || self.quarantined.get(&fingerprint).is_some()
     }
 }
 
 impl Gateway {
-    /// A server has ended while requests ran there.
-    fn strike(&mut self, server: &Server, suspects: &[Suspect], out: &mut Effects) {
-        let strikes: Vec<CrashReport> = suspects.iter().map(|s| s.strike(self.now)).collect();
-        let calls = strikes.iter().take(NAMED);
-        let calls: Vec<String> = calls.map(|s| s.fingerprint.to_string()).collect();
+    /// Reports the crash of a server for each request that ran there to the VMs that count for the request.
+    fn report_crash(&mut self, server: &Server, suspects: &[Suspect], out: &mut Effects) {
+        let reports: Vec<CrashReport> = suspects.iter().map(|s| s.crash_report(self.now)).collect();
+        let fingerprints = reports.iter().take(MAX_LOGGED_REQUESTS);
+        let fingerprints: Vec<String> = fingerprints.map(|s| s.fingerprint.to_string()).collect();
         let detail = format!(
             "server={server} requests={} calls={}",
-            strikes.len(),
-            calls.join(",")
+            reports.len(),
+            fingerprints.join(",")
         );
         Self::log(out, Code::ServerEnded, detail);
-        let mut told: BTreeMap<Vm, Vec<CrashReport>> = BTreeMap::new();
-        for strike in &strikes {
-            for vm in self.counters(strike.fingerprint) {
-                told.entry(vm.clone()).or_default().push(*strike);
+        let mut reports_by_vm: BTreeMap<Vm, Vec<CrashReport>> = BTreeMap::new();
+        for report in &reports {
+            for vm in self.crash_counting_vms(report.fingerprint) {
+                reports_by_vm.entry(vm.clone()).or_default().push(*report);
             }
         }
-        told.remove(&self.settings.vm);
-        for (vm, strikes) in told {
-            self.send(&vm, Message::CrashReports(strikes), out);
+        reports_by_vm.remove(&self.settings.vm);
+        for (vm, reports) in reports_by_vm {
+            self.send(&vm, Message::CrashReports(reports), out);
         }
-        // Whether or not it is one that counts: it may be parted from those.
-        self.count_strikes(&strikes, out);
+        // This VM counts too, even if it is none of them: they may be unreachable.
+        self.count_crash_reports(&reports, out);
     }
 
-    /// The VMs that count the strikes of a request, the first of them first.
-    fn counters(&self, fingerprint: Fingerprint) -> Vec<&Vm> {
-        self.first_vms(COUNTERS, |vm| {
+    /// Returns the VMs that count the crash reports of a request, in rendezvous order.
+    fn crash_counting_vms(&self, fingerprint: Fingerprint) -> Vec<&Vm> {
+        self.first_vms(COUNTING_VMS, |vm| {
             Reverse(membership::rendezvous_score(&(vm.as_str(), fingerprint)))
         })
     }
 
-    /// Another VM tells of strikes. What it does not know of their requests yet it is told in turn.
+    /// Handles crash reports of another VM, and replies with those of their requests that are in quarantine
+    /// already.
     pub(crate) fn handle_crash_reports(
         &mut self,
         from: &Vm,
-        strikes: &[CrashReport],
+        reports: &[CrashReport],
         out: &mut Effects,
     ) {
-        let struck = strikes.iter().map(|strike| strike.fingerprint);
-        self.tell_refused(from, struck, out);
-        self.count_strikes(strikes, out);
+        let reported = reports.iter().map(|report| report.fingerprint);
+        self.send_quarantined(from, reported, out);
+        self.count_crash_reports(reports, out);
     }
 
-    fn count_strikes(&mut self, strikes: &[CrashReport], out: &mut Effects) {
-        let mut told = Vec::new();
-        for strike in strikes {
-            let fingerprint = strike.fingerprint;
-            let counted = self.quarantine.tally.strike(self.now, strike);
-            let known = self.quarantine.left(fingerprint, self.now).is_some();
+    fn count_crash_reports(&mut self, reports: &[CrashReport], out: &mut Effects) {
+        let mut statuses = Vec::new();
+        for report in reports {
+            let fingerprint = report.fingerprint;
+            let counted = self.quarantine.crash_counter.count(self.now, report);
+            let is_quarantined = self.quarantine.remaining(fingerprint, self.now).is_some();
             match counted {
-                Count::Enough if !known => {
+                CrashEffect::Quarantine if !is_quarantined => {
                     self.put_in_quarantine(fingerprint, QUARANTINE_DURATION, "strikes", out);
-                    self.record(fingerprint, out);
-                    told.push((
+                    self.schedule_write(fingerprint, out);
+                    statuses.push((
                         fingerprint,
                         QuarantineStatus::Quarantined(QUARANTINE_DURATION),
                     ));
                 }
-                Count::Suspect if !self.quarantine.watches(fingerprint) => {
+                CrashEffect::Watch if !self.quarantine.is_tracked(fingerprint) => {
                     self.quarantine.watched.insert(self.now, fingerprint, ());
-                    told.push((fingerprint, QuarantineStatus::Watched));
+                    statuses.push((fingerprint, QuarantineStatus::Watched));
                 }
                 _ => {}
             }
         }
-        if !told.is_empty() {
-            self.broadcast(&Message::QuarantineStatuses(told), out);
+        if !statuses.is_empty() {
+            self.broadcast(&Message::QuarantineStatuses(statuses), out);
         }
     }
 
-    /// Another VM tells what is known of requests.
+    /// Handles the status of requests as determined by another VM.
     pub(crate) fn handle_quarantine_statuses(
         &mut self,
-        told: Vec<(Fingerprint, QuarantineStatus)>,
+        statuses: Vec<(Fingerprint, QuarantineStatus)>,
         out: &mut Effects,
     ) {
-        for (fingerprint, standing) in told {
-            match standing {
+        for (fingerprint, status) in statuses {
+            match status {
                 QuarantineStatus::Watched => {
                     self.quarantine.watched.insert(self.now, fingerprint, ());
                 }
-                QuarantineStatus::Quarantined(left) => {
-                    self.put_in_quarantine(fingerprint, left, "peer", out);
+                QuarantineStatus::Quarantined(remaining) => {
+                    self.put_in_quarantine(fingerprint, remaining, "peer", out);
                 }
                 QuarantineStatus::Cleared => self.clear(fingerprint, "answered_elsewhere", out),
             }
         }
     }
 
-    /// Refuses a request from now on, for so long, and at once where it waits. What has been sent already is left to its server.
+    /// Quarantines a request for `duration`, at most [`QUARANTINE_DURATION`]. Refuses the repetitions of it
+    /// that wait for a server; those that wait for tokens or were sent already are left alone.
     pub(crate) fn put_in_quarantine(
         &mut self,
         fingerprint: Fingerprint,
-        length: Span,
-        by: &str,
+        duration: Span,
+        cause: &str,
         out: &mut Effects,
     ) {
-        if self.quarantine.left(fingerprint, self.now).is_some() {
+        if self.quarantine.remaining(fingerprint, self.now).is_some() {
             return;
         }
-        let length = length.min(QUARANTINE_DURATION);
-        let until = self.now + length;
+        let duration = duration.min(QUARANTINE_DURATION);
+        let until = self.now + duration;
         self.quarantine
             .quarantined
             .insert(self.now, fingerprint, until);
-        let detail = format!("call={fingerprint} by={by} for={length}");
+        let detail = format!("call={fingerprint} by={cause} for={duration}");
         Self::log(out, Code::RequestQuarantined, detail);
-        let waits = |f: &state::RequestState| {
-            f.call.fingerprint == fingerprint
-                && f.server().is_none()
-                && f.phase != state::Phase::Charging
+        let is_waiting = |state: &RequestState| {
+            state.call.fingerprint == fingerprint
+                && state.server().is_none()
+                && state.phase != Phase::Charging
         };
-        let waiting = self.in_flight.iter().filter(|(_, state)| waits(state));
+        let waiting = self.in_flight.iter().filter(|(_, state)| is_waiting(state));
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         for request in waiting {
-            self.refuse_request(request, Some(length), RefusalDetail::Quarantined, out);
+            self.refuse_request(request, Some(duration), RefusalDetail::Quarantined, out);
         }
     }
 
-    /// Forgets all that speaks against a request.
-    fn clear(&mut self, fingerprint: Fingerprint, why: &str, out: &mut Effects) {
-        self.quarantine.tally.clear(fingerprint);
+    /// Removes the counted crashes, the watch and the quarantine of a request.
+    fn clear(&mut self, fingerprint: Fingerprint, cause: &str, out: &mut Effects) {
+        self.quarantine.crash_counter.clear(fingerprint);
         self.quarantine.watched.remove(&fingerprint);
-        self.end_quarantine(fingerprint, why, out);
+        self.end_quarantine(fingerprint, cause, out);
     }
 
-    /// The record of a request is gone: its lease has ended, or an operator has removed it. Its strikes but the last are remembered.
+    /// Handles the end of a quarantine because the record is gone: an operator removed it, or its lease
+    /// expired. The count of the request stays one short of a new quarantine.
     pub(crate) fn end_quarantine(
         &mut self,
         fingerprint: Fingerprint,
-        why: &str,
+        cause: &str,
         out: &mut Effects,
     ) {
         if self.quarantine.quarantined.remove(&fingerprint).is_some() {
-            self.quarantine.tally.leave_one_short(fingerprint);
-            let detail = format!("call={fingerprint} why={why}");
+            self.quarantine
+                .crash_counter
+                .cap_below_threshold(fingerprint);
+            let detail = format!("call={fingerprint} why={cause}");
             Self::log(out, Code::QuarantineLifted, detail);
         }
     }
 
-    /// A request got its whole answer: servers don't end because of it.
-    pub(crate) fn answered_whole(&mut self, request: RequestId, out: &mut Effects) {
+    /// Handles a complete answer to a request: the request is not what crashes servers.
+    pub(crate) fn record_complete_answer(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
         let fingerprint = state.call.fingerprint;
         if let Some(server) = state.server() {
-            self.quarantine.suspects.lives(server, state.sent);
+            self.quarantine.suspects.record_answer(server, state.sent);
         }
-        if !self.quarantine.watches(fingerprint) {
+        if !self.quarantine.is_tracked(fingerprint) {
             return;
         }
         self.clear(fingerprint, "answered", out);
-        self.remove_record(fingerprint, out);
-        let told = vec![(fingerprint, QuarantineStatus::Cleared)];
-        self.broadcast(&Message::QuarantineStatuses(told), out);
+        self.schedule_removal(fingerprint, out);
+        let statuses = vec![(fingerprint, QuarantineStatus::Cleared)];
+        self.broadcast(&Message::QuarantineStatuses(statuses), out);
     }
 
-    /// Tells a VM that knows nothing yet which requests are refused.
+    /// Informs a VM that knows no entries yet about all quarantined requests, the most recent first.
     pub(crate) fn tell_quarantines(&self, vm: &Vm, out: &mut Effects) {
-        self.tell_refused(vm, self.quarantine.quarantined.newest(), out);
+        self.send_quarantined(vm, self.quarantine.quarantined.newest_first(), out);
     }
 
-    /// Tells a VM which of some requests are refused.
-    fn tell_refused(
+    /// Informs a VM about those of the given requests that are quarantined.
+    fn send_quarantined(
         &self,
         vm: &Vm,
         requests: impl Iterator<Item = Fingerprint>,
         out: &mut Effects,
     ) {
         let refused = requests.filter_map(|fingerprint| {
-            let left = self.quarantine.left(fingerprint, self.now)?;
-            Some((fingerprint, QuarantineStatus::Quarantined(left)))
+            let remaining = self.quarantine.remaining(fingerprint, self.now)?;
+            Some((fingerprint, QuarantineStatus::Quarantined(remaining)))
         });
-        let told: Vec<(Fingerprint, QuarantineStatus)> = refused.take(TOLD_AT_ONCE).collect();
-        if !told.is_empty() {
-            self.send(vm, Message::QuarantineStatuses(told), out);
+        let statuses: Vec<(Fingerprint, QuarantineStatus)> =
+            refused.take(MAX_STATUSES_PER_MESSAGE).collect();
+        if !statuses.is_empty() {
+            self.send(vm, Message::QuarantineStatuses(statuses), out);
         }
     }
 
-    /// A connection to a server broke on which a request was that may have run.
-    pub(crate) fn suspect(
+    /// Records a request that may have run at a server when its connection broke, and probes the server.
+    pub(crate) fn record_suspect(
         &mut self,
         server: &Server,
         fingerprint: Fingerprint,
         sent: Instant,
         out: &mut Effects,
     ) {
-        // The end of a server that leaves is planned, and of one that is gone nothing can be learnt.
-        let Some(row) = self.servers.get(server).filter(|row| row.backend.ready) else {
+        // A leaving server ends on purpose, and a server without an entry has no address to probe.
+        let Some(server_state) = self
+            .servers
+            .get(server)
+            .filter(|server_state| server_state.backend.ready)
+        else {
             return;
         };
         let suspect = Suspect {
@@ -314,29 +331,25 @@
             sent,
             broke: self.now,
         };
-        if self.quarantine.suspects.suspect(server, suspect) {
-            out.push(Effect::Probe(server.clone(), row.backend.address));
+        if self.quarantine.suspects.insert(server, suspect) {
+            out.push(Effect::Probe(server.clone(), server_state.backend.address));
         }
     }
 
-    /// A server was asked whether it takes connections.
-    pub(crate) fn handle_probe(
-        &mut self,
-        server: &Server,
-        presence: ProbeResult,
-        out: &mut Effects,
-    ) {
-        self.quarantine.suspects.probed(server);
-        if presence == ProbeResult::Refuses {
+    /// Handles the result of a probe.
+    pub(crate) fn handle_probe(&mut self, server: &Server, result: ProbeResult, out: &mut Effects) {
+        self.quarantine.suspects.handle_probe_ended(server);
+        if result == ProbeResult::Refuses {
             self.server_ended(server, out);
         }
     }
 
-    /// A server is known to have ended.
+    /// Handles a server that certainly ended: its address refuses connections, its entry is gone, or it has
+    /// restarted.
     pub(crate) fn server_ended(&mut self, server: &Server, out: &mut Effects) {
-        let suspects = self.quarantine.suspects.ended(server, self.now);
+        let suspects = self.quarantine.suspects.take(server, self.now);
         if !suspects.is_empty() {
-            self.strike(server, &suspects, out);
+            self.report_crash(server, &suspects, out);
         }
     }
 }
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -1,5 +1,7 @@
-//! The record of each request in quarantine in the key-value service, so that VMs that start later know of it, and operators can lift
-//! it by removing it. It goes with its lease.
+//! Records of quarantined requests in the key-value service.
+//!
+//! VMs that start later learn from them about a quarantine, and operators end a quarantine by removing its
+//! record. A record disappears when its lease expires.
 
 use std::collections::BTreeMap;
 
@@ -14,70 +16,72 @@
 use crate::request::fingerprint::Fingerprint;
 use crate::timer::Timer;
 
-/// How much later than the first VM that counts a request's strikes the next one writes, where the record is not there by then.
-const TURN: Span = Span::from_millis(500);
+/// Delay between the write attempts of the VMs that count for a request: the next one writes only if the
+/// record is still missing.
+const WRITE_DELAY: Span = Span::from_millis(500);
 
-/// How long a lease takes further records: they go that much sooner.
-const LEASE_SHARED: Span = Span::from_secs(60);
+/// How long after its grant a lease is used for further records; these expire earlier by as much.
+const LEASE_REUSE: Span = Span::from_secs(60);
 
-/// How long after a whole answer a record is removed that is written all the same: a write may be carried out seconds late.
-const LATE_WRITE: Span = Span::from_secs(10);
+/// How long after a complete answer a record is removed if it still appears: the key-value service may carry
+/// out a write seconds late.
+const LATE_WRITE_WINDOW: Span = Span::from_secs(10);
 
-/// The pause after the first call that failed.
-const RETRY: Span = Span::from_secs(1);
+/// Pause after the first failed call.
+const MIN_BACKOFF: Span = Span::from_secs(1);
 
-/// The longest pause after calls that failed.
-const RETRY_LONGEST: Span = Span::from_secs(8);
+/// Upper bound on the pause after consecutive failed calls.
+const MAX_BACKOFF: Span = Span::from_secs(8);
 
-/// What a record is to be.
+/// Desired state of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Goal {
-    /// There.
+    /// The record exists.
     Present,
-    /// Gone, also if it is written late, until then.
+    /// The record does not exist; a late write is removed as well, until this time.
     Absent(Instant),
 }
 
-/// What a call is for.
+/// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// The lease.
+    /// Obtain a lease.
     Lease,
-    /// What a record is to be.
+    /// Write or remove the record of this request.
     Record(Fingerprint),
 }
 
-/// What this VM has to write.
+/// Pending writes of records.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// Records that are not as they should be, each with when this VM sees to it.
+    /// Records that are not in their desired state yet, each with the time of the next attempt.
     goals: BTreeMap<Fingerprint, (Goal, Instant)>,
-    /// The lease, with when it was granted.
+    /// The lease for records, with the time of its grant.
     lease: Option<(Lease, Instant)>,
-    /// The call in progress.
+    /// The call in flight.
     call: Option<(KvOperationId, Purpose)>,
-    /// Calls in a row that failed.
+    /// Number of consecutive failed calls.
     failures: u32,
-    /// Until when none is made after one that failed.
-    pause: Instant,
+    /// After a failed call, the time until which no other one is made.
+    paused_until: Instant,
 }
 
 impl State {
-    /// Whether a call is one on records.
+    /// Returns whether `op` is the call in flight.
     pub(crate) fn owns(&self, op: KvOperationId) -> bool {
         self.call.is_some_and(|(id, _)| id == op)
     }
 
-    /// When something is to be written.
-    pub(super) fn next(&self) -> Option<Instant> {
+    /// Returns when the next call is due; `None` while a call is in flight.
+    pub(super) fn next_call(&self) -> Option<Instant> {
         let due = self.goals.values().map(|(_, at)| *at).min();
         let due = due.filter(|_| self.call.is_none());
-        due.map(|at| at.max(self.pause))
+        due.map(|at| at.max(self.paused_until))
     }
 
-    /// The goal that is to be worked on now.
-    fn due(&self, now: Instant) -> Option<(Fingerprint, Goal)> {
-        if self.call.is_some() || now < self.pause {
+    /// Returns the next goal that is due, unless a call is in flight or paused.
+    fn due_goal(&self, now: Instant) -> Option<(Fingerprint, Goal)> {
+        if self.call.is_some() || now < self.paused_until {
             return None;
         }
         let mut goals = self.goals.iter();
@@ -85,35 +89,40 @@
         due.map(|(fingerprint, (goal, _))| (*fingerprint, *goal))
     }
 
-    /// A call on a record was carried out. Whether one stays gone is looked at again.
-    fn written(&mut self, fingerprint: Fingerprint, now: Instant) {
+    /// Handles the success of a write or removal. An absent record is checked again later, because a late
+    /// write may restore it.
+    fn handle_written(&mut self, fingerprint: Fingerprint, now: Instant) {
         match self.goals.get_mut(&fingerprint) {
-            Some((Goal::Absent(_), at)) => *at = now + TURN,
+            Some((Goal::Absent(_), at)) => *at = now + WRITE_DELAY,
             _ => drop(self.goals.remove(&fingerprint)),
         }
     }
 
-    /// The lease for a further record, if it has long enough to live.
-    fn lease(&self, now: Instant) -> Option<Lease> {
+    /// Returns the lease to use for a further record, if it has enough time left.
+    fn reusable_lease(&self, now: Instant) -> Option<Lease> {
         let lease = self.lease.as_ref();
-        let lease = lease.filter(|(_, granted)| now.since(*granted) < LEASE_SHARED);
+        let lease = lease.filter(|(_, granted)| now.since(*granted) < LEASE_REUSE);
         lease.map(|(id, _)| *id)
     }
 }
 
 impl Gateway {
-    /// A request is in quarantine by this VM's count: the VMs that count its strikes write its record in turn, until one has.
-    pub(super) fn record(&mut self, fingerprint: Fingerprint, out: &mut Effects) {
-        let counters = self.counters(fingerprint);
-        let turn = counters.iter().position(|vm| **vm == self.settings.vm);
-        let turn = turn.unwrap_or(counters.len());
-        let at = self.now + TURN.times(turn as u64);
+    /// Schedules the write of a record, for a request that this VM's count has put in quarantine. The VMs
+    /// that count for the request try one after another, until one of them has written it.
+    pub(super) fn schedule_write(&mut self, fingerprint: Fingerprint, out: &mut Effects) {
+        let crash_counting_vms = self.crash_counting_vms(fingerprint);
+        let position = crash_counting_vms
+            .iter()
+            .position(|vm| **vm == self.settings.vm);
+        let position = position.unwrap_or(crash_counting_vms.len());
+        let at = self.now + WRITE_DELAY.times(position as u64);
         self.set_goal(fingerprint, Goal::Present, at, out);
     }
 
-    /// A request got a whole answer: its record goes, if there is one or another VM is about to write it.
-    pub(super) fn remove_record(&mut self, fingerprint: Fingerprint, out: &mut Effects) {
-        let until = self.now + LATE_WRITE;
+    /// Schedules the removal of the record of a request that got a complete answer, whether it exists or is
+    /// about to be written by another VM.
+    pub(super) fn schedule_removal(&mut self, fingerprint: Fingerprint, out: &mut Effects) {
+        let until = self.now + LATE_WRITE_WINDOW;
         self.set_goal(fingerprint, Goal::Absent(until), self.now, out);
     }
 
@@ -123,47 +132,47 @@
         self.handle_quarantine_timer(out);
     }
 
-    /// The revision of a request's record, where it is there.
-    fn recorded_at(&self, fingerprint: Fingerprint) -> Option<Revision> {
-        let known = self.snapshot.get(&EntryKey::Quarantine(fingerprint));
-        let there = known.filter(|change| change.value.is_some());
-        there.map(|change| change.revision)
+    /// Returns the revision of a request's record, if the record exists.
+    fn record_revision(&self, fingerprint: Fingerprint) -> Option<Revision> {
+        let change = self.snapshot.get(&EntryKey::Quarantine(fingerprint));
+        let existing = change.filter(|change| change.value.is_some());
+        existing.map(|change| change.revision)
     }
 
-    /// Forgets the goals that are reached, or of requests that are no longer refused.
-    fn drop_goals(&mut self) {
+    /// Drops the goals that are reached, and those of requests that are not in quarantine any more.
+    fn drop_reached_goals(&mut self) {
         let mut goals = std::mem::take(&mut self.quarantine.records.goals);
         goals.retain(|fingerprint, (goal, _)| {
-            let there = self.recorded_at(*fingerprint).is_some();
-            let refused = self.quarantine.left(*fingerprint, self.now).is_some();
+            let exists = self.record_revision(*fingerprint).is_some();
+            let refused = self.quarantine.remaining(*fingerprint, self.now).is_some();
             match goal {
-                Goal::Present => refused && !there,
-                Goal::Absent(until) => there || self.now < *until,
+                Goal::Present => refused && !exists,
+                Goal::Absent(until) => exists || self.now < *until,
             }
         });
         self.quarantine.records.goals = goals;
     }
 
-    /// Makes the next call on records that is due.
+    /// Makes the next call that is due, and sets the timer for the one after it.
     pub(crate) fn handle_quarantine_timer(&mut self, out: &mut Effects) {
-        self.drop_goals();
-        if let Some((fingerprint, goal)) = self.quarantine.records.due(self.now) {
-            self.pursue(fingerprint, goal, out);
+        self.drop_reached_goals();
+        if let Some((fingerprint, goal)) = self.quarantine.records.due_goal(self.now) {
+            self.call_for_goal(fingerprint, goal, out);
         }
-        if let Some(next) = self.quarantine.records.next() {
-            self.timers.set_once(next, Timer::Quarantine);
+        if let Some(next_call) = self.quarantine.records.next_call() {
+            self.timers.set_once(next_call, Timer::Quarantine);
         }
     }
 
-    fn pursue(&mut self, fingerprint: Fingerprint, goal: Goal, out: &mut Effects) {
+    fn call_for_goal(&mut self, fingerprint: Fingerprint, goal: Goal, out: &mut Effects) {
         let subject = EntryKey::Quarantine(fingerprint);
-        let known = self.recorded_at(fingerprint);
-        let lease = self.quarantine.records.lease(self.now);
+        let existing = self.record_revision(fingerprint);
+        let lease = self.quarantine.records.reusable_lease(self.now);
         let purpose = Purpose::Record(fingerprint);
-        let (purpose, op) = match (goal, known, lease) {
+        let (purpose, op) = match (goal, existing, lease) {
             (Goal::Absent(_), None, _) => {
-                let again = (goal, self.now + TURN);
-                self.quarantine.records.goals.insert(fingerprint, again);
+                let retry = (goal, self.now + WRITE_DELAY);
+                self.quarantine.records.goals.insert(fingerprint, retry);
                 return;
             }
             (Goal::Absent(_), Some(revision), _) => {
@@ -181,7 +190,7 @@
         self.quarantine.records.call = Some((id, purpose));
     }
 
-    /// A call on records came back.
+    /// Handles the outcome of a call.
     pub(crate) fn handle_quarantine_outcome(&mut self, outcome: KvOutcome, out: &mut Effects) {
         let now = self.now;
         let records = &mut self.quarantine.records;
@@ -195,18 +204,18 @@
             }
             (Purpose::Record(fingerprint), KvOutcome::Written(_)) => {
                 records.failures = 0;
-                records.written(fingerprint, now);
+                records.handle_written(fingerprint, now);
             }
             (_, KvOutcome::Conflict(changes)) => {
-                records.pause = now + RETRY;
+                records.paused_until = now + MIN_BACKOFF;
                 self.apply_changes(changes, Delivery::LatestOnly, false, out);
             }
             (_, outcome) => {
                 if matches!(outcome, KvOutcome::NoLease) {
                     records.lease = None;
                 }
-                let pause = backoff(RETRY, RETRY_LONGEST, records.failures, &mut self.rng);
-                records.pause = now + pause;
+                let pause = backoff(MIN_BACKOFF, MAX_BACKOFF, records.failures, &mut self.rng);
+                records.paused_until = now + pause;
                 records.failures += 1;
             }
         }
--- a/crates/gateway/src/request/quarantine/suspects.rs
+++ b/crates/gateway/src/request/quarantine/suspects.rs
@@ -1,21 +1,23 @@
-//! Which requests were at a server when its connections broke, until it is known whether the server has ended.
+//! Requests whose connections to a server broke, kept until it is known whether the server crashed.
 //!
-//! A connection may break for many reasons. A server that has ended refuses connections within milliseconds, its entry goes or names
-//! another start within seconds; one that lives answers another request. Where nothing of it is seen nobody gets a strike.
+//! A connection may break for many reasons. A crashed server refuses connections within milliseconds, and its
+//! entry disappears or names another incarnation within seconds; a live server answers another request.
+//! Without any such sign no crash is reported.
 
 use std::collections::BTreeMap;
 
 use dahliastile_core::id::Server;
 use dahliastile_core::time::{Instant, Span};
 
-use super::strikes::CrashReport;
+use super::crash_counter::CrashReport;
 use crate::request::fingerprint::Fingerprint;
 
-/// How long after a connection broke the server's end is taken for its reason: three heartbeats that don't come, and some.
-const KEPT: Span = Span::from_secs(6);
+/// How long after a connection broke the end of the server counts as its cause: three missed heartbeats and a
+/// margin.
+const SUSPECT_RETENTION: Span = Span::from_secs(6);
 
-/// Requests of one server that are kept at most: more than a server runs.
-const MOST: usize = 256;
+/// Upper bound on the requests kept for one server: more than a server runs at once.
+const MAX_PER_SERVER: usize = 256;
 
 /// A request whose connection broke.
 #[derive(Clone, Copy, Debug)]
@@ -29,8 +31,9 @@
 }
 
 impl Suspect {
-    /// What other VMs are told, with times as ages since clocks differ.
-    pub(crate) fn strike(&self, now: Instant) -> CrashReport {
+    /// Converts to a crash report for other VMs. Its times are relative to `now`, because the clocks of VMs
+    /// differ.
+    pub(crate) fn crash_report(&self, now: Instant) -> CrashReport {
         CrashReport {
             fingerprint: self.fingerprint,
             sent: now.since(self.sent),
@@ -39,60 +42,66 @@
     }
 }
 
-/// One server's requests.
+/// The suspects of one server.
 #[derive(Debug, Default)]
-struct Row {
-    /// The requests, the last one last.
+struct ServerSuspects {
+    /// The requests, in the order in which their connections broke.
     suspects: Vec<Suspect>,
-    /// Whether it is being asked whether it listens.
+    /// Whether a probe of the server is in flight.
     probing: bool,
 }
 
-/// The servers with broken connections.
+/// The servers to which connections broke.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// By server.
-    rows: BTreeMap<Server, Row>,
+    /// Suspects by server.
+    by_server: BTreeMap<Server, ServerSuspects>,
 }
 
 impl State {
-    /// Notes a request. Says whether the server is to be asked if it listens.
-    pub(crate) fn suspect(&mut self, server: &Server, suspect: Suspect) -> bool {
-        self.forget(suspect.broke);
-        let row = self.rows.entry(server.clone()).or_default();
-        if row.suspects.len() < MOST {
-            row.suspects.push(suspect);
+    /// Records a request whose connection broke. Returns whether the server has to be probed; it is not while
+    /// a probe is in flight.
+    pub(crate) fn insert(&mut self, server: &Server, suspect: Suspect) -> bool {
+        self.drop_expired(suspect.broke);
+        let server_suspects = self.by_server.entry(server.clone()).or_default();
+        if server_suspects.suspects.len() < MAX_PER_SERVER {
+            server_suspects.suspects.push(suspect);
         }
-        !std::mem::replace(&mut row.probing, true)
+        !std::mem::replace(&mut server_suspects.probing, true)
     }
 
-    /// The answer to that has come, or won't.
-    pub(crate) fn probed(&mut self, server: &Server) {
-        if let Some(row) = self.rows.get_mut(server) {
-            row.probing = false;
+    /// Records that the probe of a server has ended.
+    pub(crate) fn handle_probe_ended(&mut self, server: &Server) {
+        if let Some(server_suspects) = self.by_server.get_mut(server) {
+            server_suspects.probing = false;
         }
     }
 
-    /// A server answered a request that was sent at a time: what broke before broke for another reason.
-    pub(crate) fn lives(&mut self, server: &Server, sent: Instant) {
-        if let Some(row) = self.rows.get_mut(server) {
-            row.suspects.retain(|suspect| suspect.broke >= sent);
+    /// Handles an answer of a server to a request that was sent at `sent`: connections that broke before then
+    /// broke for another reason than a crash.
+    pub(crate) fn record_answer(&mut self, server: &Server, sent: Instant) {
+        if let Some(server_suspects) = self.by_server.get_mut(server) {
+            server_suspects
+                .suspects
+                .retain(|suspect| suspect.broke >= sent);
         }
     }
 
-    /// A server has ended: the requests that it may have ended by.
-    pub(crate) fn ended(&mut self, server: &Server, now: Instant) -> Vec<Suspect> {
-        self.forget(now);
-        let row = self.rows.remove(server);
-        row.map_or_else(Vec::new, |row| row.suspects)
+    /// Removes and returns the requests that may have crashed a server.
+    pub(crate) fn take(&mut self, server: &Server, now: Instant) -> Vec<Suspect> {
+        self.drop_expired(now);
+        let server_suspects = self.by_server.remove(server);
+        server_suspects.map_or_else(Vec::new, |server_suspects| server_suspects.suspects)
     }
 
-    fn forget(&mut self, now: Instant) {
-        for row in self.rows.values_mut() {
-            row.suspects
-                .retain(|suspect| now.since(suspect.broke) <= KEPT);
+    fn drop_expired(&mut self, now: Instant) {
+        for server_suspects in self.by_server.values_mut() {
+            server_suspects
+                .suspects
+                .retain(|suspect| now.since(suspect.broke) <= SUSPECT_RETENTION);
         }
-        self.rows
-            .retain(|_, row| row.probing || !row.suspects.is_empty());
+        self.by_server.retain(|_, server_suspects| {
+            server_suspects.probing || !server_suspects.suspects.is_empty()
+        });
     }
 }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -1,7 +1,7 @@
-//! The life of one caller's request on this VM, from its arrival to its one final answer.
+//! The state of one caller's request on its VM, from arrival to final answer.
 //!
-//! A request is refused with a promise that it has not run only if that is certain. One that may have run is sent
-//! again only if its kind allows it, and never to more servers than its route allows.
+//! A request is refused as not run only if it certainly has not run. A request that may have run is sent
+//! again only if the kind of its route allows it, and to no more servers than its route allows.
 
 mod failure;
 
@@ -23,66 +23,66 @@
 use crate::node::Gateway;
 use crate::timer::Timer;
 
-use self::failure::COME_BACK;
+use self::failure::RETRY_AFTER;
 pub(crate) use self::failure::{RefusalDetail, refusal};
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It waits for tokens of its account.
+    /// Waits for tokens of its account.
     Charging,
-    /// It waits for the scheduler's answer.
+    /// Waits for the scheduler's placement.
     Waiting,
-    /// It waits for leave to be sent to a server that names a limit.
+    /// Waits for a permit to be sent to a server that has a rate limit.
     Permit {
-        /// This server.
+        /// The server.
         server: Server,
-        /// The version of the adapter that it must hold there.
+        /// Version of the adapter that the server must have loaded; `None` if any will do.
         version: Option<Version>,
-        /// Until when the answer is waited for.
+        /// When the VM stops waiting for the permit.
         until: Instant,
     },
-    /// It was sent.
+    /// Sent to a server.
     Sent {
-        /// To this server.
+        /// The server.
         server: Server,
-        /// Whether its answer has begun.
-        begun: bool,
+        /// Whether the answer has started.
+        answer_started: bool,
     },
 }
 
-/// One request.
+/// A caller's request and its progress on this VM.
 #[derive(Debug)]
 pub(crate) struct RequestState {
-    /// What the caller asks.
+    /// The request as read from the caller.
     pub(crate) call: CallerRequest,
-    /// Its route, as it was at the arrival.
+    /// The route as it was configured when the request arrived.
     pub(crate) route: Arc<Route>,
-    /// The client account that it is for.
+    /// The client account that the request is charged to; `None` if it needs none.
     pub(crate) account: Option<Arc<Account>>,
-    /// What it counts as there.
+    /// Tokens that the account is charged.
     pub(crate) cost: Tokens,
-    /// Whether that was charged.
+    /// Whether the account has been charged.
     pub(crate) charged: bool,
-    /// Its rank, 0 first.
+    /// Priority; 0 is the highest.
     pub(crate) priority: u8,
-    /// The service that it goes to.
+    /// The service that the request goes to.
     pub(crate) service: Service,
-    /// When it arrived.
+    /// Arrival time.
     pub(crate) arrived: Instant,
-    /// When its final answer is due.
-    pub(crate) ends: Instant,
-    /// Where it stands.
+    /// Deadline of the final answer.
+    pub(crate) deadline: Instant,
+    /// Current phase.
     pub(crate) phase: Phase,
-    /// When it was last sent; its arrival before.
+    /// When the request was last sent to a server; its arrival time before the first send.
     pub(crate) sent: Instant,
-    /// How often it was sent.
-    sends: u32,
-    /// On how many servers it has run or may have.
-    ran: u32,
-    /// How long its first piece took.
-    first: Option<Span>,
-    /// Servers that have failed it.
+    /// Number of sends.
+    send_count: u32,
+    /// Number of servers that ran the request or may have run it.
+    execution_count: u32,
+    /// Time from arrival to the first chunk of an answer.
+    time_to_first_chunk: Option<Span>,
+    /// Servers that failed the request or whose placement this VM declined.
     pub(crate) failed: Vec<Server>,
 }
 
@@ -92,11 +92,11 @@
         account: Option<Arc<Account>>,
         route: Arc<Route>,
         service: Service,
-        came: Instant,
+        arrived_at: Instant,
     ) -> Self {
         let cost = account.as_ref().map(|account| account.cost(call.tokens));
         let priority = account.as_ref().and_then(|account| account.priority);
-        let patience = call
+        let timeout = call
             .caller_timeout
             .unwrap_or(route.timeout)
             .min(route.timeout);
@@ -108,18 +108,18 @@
             priority: priority.unwrap_or(route.priority),
             route,
             service,
-            arrived: came,
-            ends: came + patience,
+            arrived: arrived_at,
+            deadline: arrived_at + timeout,
             phase: Phase::Waiting,
-            sent: came,
-            sends: 0,
-            ran: 0,
-            first: None,
+            sent: arrived_at,
+            send_count: 0,
+            execution_count: 0,
+            time_to_first_chunk: None,
             failed: Vec::new(),
         }
     }
 
-    /// What the scheduler is asked; none for a request of a plain service.
+    /// Returns the placement request for the scheduler; `None` for a request that needs no engine.
     pub(crate) fn want(
         &self,
         request: RequestId,
@@ -133,7 +133,7 @@
             waited: now.since(self.arrived),
             objective: self.route.objective,
             left: self
-                .ends
+                .deadline
                 .min(self.arrived + self.route.caller_timeout)
                 .since(now),
             priority: self.priority,
@@ -142,7 +142,7 @@
         })
     }
 
-    /// The server where it is, if it was sent.
+    /// Returns the server that the request was sent to, while it is there.
     pub(crate) fn server(&self) -> Option<&Server> {
         match &self.phase {
             Phase::Sent { server, .. } => Some(server),
@@ -152,7 +152,7 @@
 }
 
 impl Gateway {
-    /// A caller's request has been read.
+    /// Handles a new request. Without a configuration it waits in the startup queue.
     pub(crate) fn handle_request(
         &mut self,
         request: RequestId,
@@ -165,12 +165,13 @@
         }
     }
 
-    /// Begins with a request that came at a time.
+    /// Routes a request that arrived at `arrived_at` and identifies its account. Refuses it if it is in
+    /// quarantine, else charges the account.
     pub(crate) fn admit(
         &mut self,
         request: RequestId,
         call: CallerRequest,
-        came: Instant,
+        arrived_at: Instant,
         out: &mut Effects,
     ) {
         let Some(route) = self.index.find(&call.host, &call.path).cloned() else {
@@ -184,20 +185,22 @@
                 return;
             }
         };
-        let service = self.target(&route.targets);
+        let service = self.choose_target(&route.targets);
         let budget = self.retry_budgets.entry(service.clone()).or_default();
-        budget.request(self.now, self.settings.tuning.retry_window);
-        let state = RequestState::new(call, account, route, service, came);
+        budget.record_request(self.now, self.settings.tuning.retry_window);
+        let state = RequestState::new(call, account, route, service, arrived_at);
         let fingerprint = state.call.fingerprint;
-        self.timers.set(state.ends, Timer::Request(request));
+        self.timers.set(state.deadline, Timer::Request(request));
         self.in_flight.insert(request, state);
-        match self.quarantine.left(fingerprint, self.now) {
-            Some(left) => self.refuse_request(request, Some(left), RefusalDetail::Quarantined, out),
+        match self.quarantine.remaining(fingerprint, self.now) {
+            Some(remaining) => {
+                self.refuse_request(request, Some(remaining), RefusalDetail::Quarantined, out);
+            }
             None => self.charge(request, out),
         }
     }
 
-    /// Refuses a request that no route fits.
+    /// Refuses a request that matches no route.
     fn refuse_unrouted(&self, request: RequestId, call: &CallerRequest, out: &mut Effects) {
         let version = self.config_version();
         let detail = format!(
@@ -208,18 +211,19 @@
         out.push(refusal(request, RefusalReason::NoRoute, None));
     }
 
-    /// Looks for a server for a request that has none.
+    /// Finds a server for a request that is at none: through the scheduler, or by this VM's own choice.
+    /// Refuses the request if there is no server.
     pub(crate) fn find_server(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
         state.phase = Phase::Waiting;
         let service = state.service.clone();
-        let engine = self
+        let has_engines = self
             .index
             .service(service.as_str())
             .is_some_and(|s| s.engine.is_some());
-        if engine && state.call.work.is_some() {
+        if has_engines && state.call.work.is_some() {
             self.request_placement(request, out);
             return;
         }
@@ -228,21 +232,22 @@
         if let Some(server) = choice {
             self.send_unscheduled(request, &server, None, out);
         } else {
-            let opens = self.opens(&service);
-            let after = self.retry_after(opens).max(COME_BACK);
+            let earliest_open = self.earliest_open(&service);
+            let after = self.retry_after(earliest_open).max(RETRY_AFTER);
             self.refuse_request(request, Some(after), RefusalDetail::NoServer, out);
         }
     }
 
-    /// From when on this VM may send to some server of a service again.
-    fn opens(&self, service: &Service) -> Instant {
-        let rows = self.servers.iter();
-        let of = rows.filter(|(_, row)| row.backend.service == *service);
-        let opens = of.map(|(server, _)| self.notices.opens(server));
-        opens.min().unwrap_or_default()
+    /// Returns the earliest time at which this VM may send to any server of a service.
+    fn earliest_open(&self, service: &Service) -> Instant {
+        let server_states = self.servers.iter();
+        let same_service =
+            server_states.filter(|(_, server_state)| server_state.backend.service == *service);
+        let open_times = same_service.map(|(server, _)| self.notices.open_at(server));
+        open_times.min().unwrap_or_default()
     }
 
-    /// Sends a request to a server that is known to be listed.
+    /// Sends a request to a server. Does nothing if the server has no entry.
     pub(crate) fn send_to(
         &mut self,
         request: RequestId,
@@ -251,23 +256,23 @@
         out: &mut Effects,
     ) {
         let config = self.config_version();
-        let (Some(state), Some(row)) = (
+        let (Some(state), Some(server_state)) = (
             self.in_flight.get_mut(&request),
             self.servers.get_mut(server),
         ) else {
             return;
         };
-        state.sends += 1;
+        state.send_count += 1;
         state.sent = self.now;
         state.phase = Phase::Sent {
             server: server.clone(),
-            begun: false,
+            answer_started: false,
         };
-        row.open += 1;
-        let send = Attempt {
+        server_state.open += 1;
+        let attempt = Attempt {
             server: server.clone(),
-            address: row.backend.address,
-            left: state.ends.since(self.now),
+            address: server_state.backend.address,
+            left: state.deadline.since(self.now),
             account: state.account.as_ref().map(|account| account.name.clone()),
             version,
             priority: state.priority,
@@ -278,10 +283,14 @@
         let account = state.account.as_ref().map_or("-", |a| a.name.as_str());
         let detail = format!(
             "id={} call={} account={account} route={} config={config} server={server} send={} waited={waited} open={}",
-            state.call.id, state.call.fingerprint, state.route.name, state.sends, row.open
+            state.call.id,
+            state.call.fingerprint,
+            state.route.name,
+            state.send_count,
+            server_state.open
         );
         Self::log(out, Code::Sent, detail);
-        let (first, service) = (state.sends == 1, state.service.clone());
+        let (first, service) = (state.send_count == 1, state.service.clone());
         metrics::count_for_service(
             out,
             if first {
@@ -295,24 +304,28 @@
         if first {
             metrics::observe_seconds(out, Figure::QueueWait, &service, waited);
         }
-        out.push(Effect::Request(request, NextStep::Attempt(Box::new(send))));
+        out.push(Effect::Request(
+            request,
+            NextStep::Attempt(Box::new(attempt)),
+        ));
     }
 
-    /// The first piece of an answer has come.
+    /// Handles the first chunk of an answer.
     pub(crate) fn handle_answer_started(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        if let Phase::Sent { begun, .. } = &mut state.phase {
-            *begun = true;
+        if let Phase::Sent { answer_started, .. } = &mut state.phase {
+            *answer_started = true;
         }
         let took = self.now.since(state.arrived);
-        state.first.get_or_insert(took);
+        state.time_to_first_chunk.get_or_insert(took);
         metrics::observe_seconds(out, Figure::FirstToken, &state.service, took);
         self.report_progress(request, Progress::AnswerStarted, out);
     }
 
-    /// A whole answer has gone to the caller.
+    /// Handles an answer that reached the caller in full; `pause` is the longest gap between two of its
+    /// chunks.
     pub(crate) fn handle_answer_completed(
         &mut self,
         request: RequestId,
@@ -324,46 +337,47 @@
         };
         let took = self.now.since(state.arrived);
         let server = state.server().map_or("-", Server::as_str);
-        let first = state.first.unwrap_or(took);
-        let late = lateness(&state.route, first, pause);
+        let first = state.time_to_first_chunk.unwrap_or(took);
+        let missed = missed_objective(&state.route, first, pause);
         let detail = format!(
-            "id={} route={} server={server} late={late} first={first} pause={pause} took={took}",
+            "id={} route={} server={server} late={missed} first={first} pause={pause} took={took}",
             state.call.id, state.route.name
         );
         Self::log(out, Code::Served, detail);
         metrics::observe_seconds(out, Figure::WholeAnswer, &state.service, took);
         metrics::count_for_service(out, Figure::Answered, &state.service, "whole");
-        if let Some(row) = state
+        if let Some(server_state) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
         {
-            row.health.record_success(self.now);
+            server_state.health.record_success(self.now);
         }
-        self.answered_whole(request, out);
-        self.end(request, Progress::Finished, out);
+        self.record_complete_answer(request, out);
+        self.finish_request(request, Progress::Finished, out);
     }
 
-    /// The caller has left.
+    /// Handles a caller that disconnected before its answer was complete.
     pub(crate) fn handle_caller_left(&mut self, request: RequestId, out: &mut Effects) {
-        if let Some((came, call)) = self.startup_queue.remove(request) {
-            self.log_left(&call, came, out);
+        if let Some((arrived_at, call)) = self.startup_queue.remove(request) {
+            self.log_caller_left(&call, arrived_at, out);
         }
         if let Some(state) = self.in_flight.get(&request) {
-            self.log_left(&state.call, state.arrived, out);
-            if state.server().is_none() && state.ran == 0 {
+            self.log_caller_left(&state.call, state.arrived, out);
+            if state.server().is_none() && state.execution_count == 0 {
                 self.refund(request);
             }
-            self.end(request, Progress::Finished, out);
+            self.finish_request(request, Progress::Finished, out);
         }
     }
 
-    fn log_left(&self, call: &CallerRequest, came: Instant, out: &mut Effects) {
-        let after = self.now.since(came);
+    fn log_caller_left(&self, call: &CallerRequest, arrived_at: Instant, out: &mut Effects) {
+        let after = self.now.since(arrived_at);
         let detail = format!("id={} after={after}", call.id);
         Self::log(out, Code::CallerLeft, detail);
     }
 
-    /// The scheduler found a place for a request.
+    /// Handles the scheduler's placement of a request on a server. Declines it if this VM may not send to
+    /// that server.
     pub(crate) fn handle_placement(
         &mut self,
         request: RequestId,
@@ -375,40 +389,42 @@
             .in_flight
             .get(&request)
             .is_some_and(|state| state.phase == Phase::Waiting);
-        let listed = self.takes_work(server);
+        let accepts = self.accepts_requests(server);
         match waiting {
-            true if listed => self.send_to(request, server, version, out),
-            true => self.decline_place(request, server, out),
+            true if accepts => self.send_to(request, server, version, out),
+            true => self.decline_placement(request, server, out),
             false => {}
         }
     }
 
-    /// Whether a server takes requests of this VM.
-    pub(crate) fn takes_work(&self, server: &Server) -> bool {
-        let left = self
+    /// Returns whether this VM may send requests to a server: it has an entry that says it is ready, it is
+    /// not leaving for longer than the last-resort period, and it is in no cooldown.
+    pub(crate) fn accepts_requests(&self, server: &Server) -> bool {
+        let has_left = self
             .notices
             .has_left(server, self.now, self.last_resort_period());
-        let cooldown_until = self.notices.cooldown_until(server) > self.now;
-        let row = self.servers.get(server);
-        row.is_some_and(|row| row.backend.ready && !left && !cooldown_until)
+        let in_cooldown = self.notices.cooldown_until(server) > self.now;
+        let server_state = self.servers.get(server);
+        server_state
+            .is_some_and(|server_state| server_state.backend.ready && !has_left && !in_cooldown)
     }
 
-    /// Forgets a request that has its final answer.
-    fn end(&mut self, request: RequestId, progress: Progress, out: &mut Effects) {
+    /// Removes a request that has its final answer.
+    fn finish_request(&mut self, request: RequestId, progress: Progress, out: &mut Effects) {
         self.report_progress(request, progress, out);
         let Some(state) = self.in_flight.remove(&request) else {
             return;
         };
-        if let Some(row) = state
+        if let Some(server_state) = state
             .server()
             .and_then(|server| self.servers.get_mut(server))
         {
-            row.open = row.open.saturating_sub(1);
+            server_state.open = server_state.open.saturating_sub(1);
         }
     }
 
-    /// Draws a target by the weights.
-    fn target(&mut self, targets: &[Target]) -> Service {
+    /// Picks a target at random, in proportion to the weights.
+    fn choose_target(&mut self, targets: &[Target]) -> Service {
         let total: u32 = targets.iter().map(|t| t.weight).sum();
         let mut draw = self.rng.random_range(0..total.max(1));
         for target in targets {
@@ -421,8 +437,9 @@
     }
 }
 
-/// What made an answer late, if anything did.
-fn lateness(route: &Route, first: Span, pause: Span) -> &'static str {
+/// Returns which objective of its route an answer missed, for the log: the time to the first chunk (`first`),
+/// the gap between chunks (`pause`), or none (`no`).
+fn missed_objective(route: &Route, first: Span, pause: Span) -> &'static str {
     match (first > route.objective, pause > route.pause) {
         (true, _) => "first",
         (false, true) if route.pause > Span::ZERO => "pause",
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request whose server failed it, whose time is over, or that gets no server.
+//! Handles requests whose server failed them, whose deadline has passed, or that get no server.
 
 use dahliastile_core::id::Server;
 use dahliastile_core::log::Code;
@@ -12,40 +12,43 @@
 use crate::message::Progress;
 use crate::metrics;
 use crate::node::Gateway;
-use crate::request::budget::Terms;
+use crate::request::budget::RetryLimits;
 use crate::request::health::Health;
 use crate::scheduler::client::PLACEMENT_RETRY_DELAY;
 
-/// Sends of one request at most, counting those that did not run: more only wear out the shared budget.
+/// Upper bound on the sends of one request, including those that did not run. More sends would only use up
+/// the retry budget that all requests of the service share.
 const MAX_SENDS: u32 = 4;
 
-/// When a caller that was refused for want of room may come back: about the time of one answer of a plain service.
-pub(super) const COME_BACK: Span = Span::from_millis(300);
+/// Time after which a caller that was refused for lack of capacity may retry: about the time of one answer of
+/// a plain service.
+pub(super) const RETRY_AFTER: Span = Span::from_millis(300);
 
-/// What is left of a request's time below which it is not sent again: one round trip and the shortest work.
-const TOO_LATE: Span = Span::from_millis(30);
+/// A failed request is sent again only if more time than this is left until its deadline: one round trip and
+/// the shortest run.
+const MIN_TIME_TO_RETRY: Span = Span::from_millis(30);
 
-/// The part of the shared budget of second sends that the VMs use, so that windows that slide differently elsewhere and
-/// here never add up to more.
-const BUDGET_USED: f64 = 0.6;
+/// Share of the fleet-wide retry budget that the VMs use. Their sliding windows do not coincide, and with the
+/// full budget the retries in some window could exceed it.
+const RETRY_BUDGET_SHARE: f64 = 0.6;
 
-/// Why a request gets no server.
+/// Why a request is refused. More detailed than [`RefusalReason`], for the log and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RefusalDetail {
-    /// No server takes work.
+    /// No server of the service accepts requests.
     NoServer,
     /// Its server failed it, and it is not sent again.
     SendFailed,
-    /// The scheduler can't serve it in time.
+    /// The scheduler can't place it in time.
     Scheduler,
-    /// It crashes servers.
+    /// It is in quarantine: servers crashed while they ran it.
     Quarantined,
     /// Its account has no tokens left.
     OverLimit,
 }
 
 impl RefusalDetail {
-    /// Its name, for the log and figures.
+    /// Value of `why=` in the log, and label in metrics.
     const fn name(self) -> &'static str {
         match self {
             Self::NoServer => "no_server",
@@ -56,7 +59,8 @@
         }
     }
 
-    /// What its caller is told where it may have run on so many servers.
+    /// Returns the reason that the caller is given. `ran` is the number of servers that ran the request or
+    /// may have run it.
     const fn reason(self, ran: u32) -> RefusalReason {
         match self {
             _ if ran > 0 => RefusalReason::Failed,
@@ -68,7 +72,7 @@
 }
 
 impl Gateway {
-    /// A server did not answer a request well.
+    /// Handles a failed send: the server could not be reached, rejected the request, or broke off.
     pub(crate) fn handle_attempt_failed(
         &mut self,
         request: RequestId,
@@ -80,121 +84,137 @@
         let Some(state) = self.in_flight.get_mut(&request) else {
             return;
         };
-        let Phase::Sent { server, begun } = state.phase.clone() else {
+        let Phase::Sent {
+            server,
+            answer_started,
+        } = state.phase.clone()
+        else {
             return;
         };
         state.failed.push(server.clone());
-        state.ran += u32::from(ran != Execution::No);
-        if let Some(row) = self.servers.get_mut(&server) {
-            row.open = row.open.saturating_sub(1);
-            judge(&mut row.health, cause, now);
+        state.execution_count += u32::from(ran != Execution::No);
+        if let Some(server_state) = self.servers.get_mut(&server) {
+            server_state.open = server_state.open.saturating_sub(1);
+            record_health(&mut server_state.health, cause, now);
         }
         Self::log(
             out,
             Code::SendFailed,
             format!(
-                "id={} call={} server={server} ran={ran:?} cause={cause:?} begun={begun}",
+                "id={} call={} server={server} ran={ran:?} cause={cause:?} begun={answer_started}",
                 state.call.id, state.call.fingerprint
             ),
         );
         if ran != Execution::No && cause == FailureCause::Broken {
             let (fingerprint, sent) = (state.call.fingerprint, state.sent);
-            self.suspect(&server, fingerprint, sent, out);
+            self.record_suspect(&server, fingerprint, sent, out);
         }
         self.report_progress(request, Progress::Failed(ran, cause), out);
-        // It is at no server now, and its end must not count there once more.
+        // Otherwise `finish_request` would decrement the count of open requests at the server a second time.
         if let Some(state) = self.in_flight.get_mut(&request) {
             state.phase = Phase::Waiting;
         }
-        self.after_failure(request, ran, cause, begun, out);
+        self.retry_or_finish(request, ran, cause, answer_started, out);
     }
 
-    /// Sends a failed request again where that is allowed and of use, or gives it its final answer.
-    fn after_failure(
+    /// Sends a failed request again if its route, its deadline and the retry budget allow it. Gives it its
+    /// final answer otherwise.
+    fn retry_or_finish(
         &mut self,
         request: RequestId,
         ran: Execution,
         cause: FailureCause,
-        begun: bool,
+        answer_started: bool,
         out: &mut Effects,
     ) {
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
         let kind = state.route.kind;
-        let may = ran == Execution::No || kind.idempotent() && state.ran < state.route.attempts;
-        let cut = begun && kind != RouteKind::Resumable && kind != RouteKind::Safe;
-        let in_time = state.ends.since(self.now) > TOO_LATE && state.sends < MAX_SENDS;
-        let quarantined = self.quarantine.left(state.call.fingerprint, self.now);
+        let may_rerun = ran == Execution::No
+            || kind.idempotent() && state.execution_count < state.route.attempts;
+        let answer_cut = answer_started && kind != RouteKind::Resumable && kind != RouteKind::Safe;
+        let in_time =
+            state.deadline.since(self.now) > MIN_TIME_TO_RETRY && state.send_count < MAX_SENDS;
+        let quarantined = self.quarantine.remaining(state.call.fingerprint, self.now);
         match cause {
-            _ if cut => self.end(request, Progress::Finished, out),
+            _ if answer_cut => self.finish_request(request, Progress::Finished, out),
             _ if quarantined.is_some() => {
                 self.refuse_request(request, quarantined, RefusalDetail::Quarantined, out);
             }
-            _ if may && in_time && self.spend(request) => self.find_server(request, out),
+            _ if may_rerun && in_time && self.spend_retry(request) => {
+                self.find_server(request, out);
+            }
             FailureCause::Status(_) => {
                 out.push(Effect::Request(request, NextStep::ForwardFailure));
-                self.end(request, Progress::Finished, out);
+                self.finish_request(request, Progress::Finished, out);
             }
-            _ => self.refuse_request(request, Some(COME_BACK), RefusalDetail::SendFailed, out),
+            _ => self.refuse_request(request, Some(RETRY_AFTER), RefusalDetail::SendFailed, out),
         }
     }
 
-    fn spend(&mut self, request: RequestId) -> bool {
+    /// Takes one retry of the request from the retry budget of its service, and returns whether there was one.
+    fn spend_retry(&mut self, request: RequestId) -> bool {
         let Some(state) = self.in_flight.get(&request) else {
             return false;
         };
         let tuning = &self.settings.tuning;
         let vms = self.peers().count() + 1;
-        let terms = Terms {
-            ratio: tuning.retry_ratio * BUDGET_USED,
+        let limits = RetryLimits {
+            retries_per_request: tuning.retry_ratio * RETRY_BUDGET_SHARE,
             #[allow(clippy::cast_precision_loss)]
-            extra: tuning.retry_extra * BUDGET_USED / vms as f64,
+            extra_retries: tuning.retry_extra * RETRY_BUDGET_SHARE / vms as f64,
             window: tuning.retry_window,
         };
         let budget = self.retry_budgets.entry(state.service.clone()).or_default();
-        budget.spend(self.now, terms)
+        budget.try_spend(self.now, limits)
     }
 
-    /// A request's time is over.
+    /// Handles the timer of a request: its deadline, a missing answer of the scheduler, or a missing permit.
     pub(crate) fn handle_request_timer(&mut self, request: RequestId, out: &mut Effects) {
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
-        if state.ends > self.now {
-            let unheard = state.phase == Phase::Waiting && state.call.work.is_some();
-            if unheard && self.now.since(state.arrived) >= PLACEMENT_RETRY_DELAY {
+        if state.deadline > self.now {
+            let unanswered = state.phase == Phase::Waiting && state.call.work.is_some();
+            if unanswered && self.now.since(state.arrived) >= PLACEMENT_RETRY_DELAY {
                 self.request_placement(request, out);
             }
-            self.permit_due(request, out);
+            self.handle_permit_timeout(request, out);
             return;
         }
         metrics::count_for_service(out, Figure::Refused, &state.service, "timed_out");
-        let begun = matches!(state.phase, Phase::Sent { begun: true, .. });
+        let answer_started = matches!(
+            state.phase,
+            Phase::Sent {
+                answer_started: true,
+                ..
+            }
+        );
         let sent = matches!(state.phase, Phase::Sent { .. });
         let (id, server) = (&state.call.id, state.server().map_or("-", Server::as_str));
         Self::log(
             out,
             Code::TimedOut,
             format!(
-                "id={id} server={server} begun={begun} timeout={}",
+                "id={id} server={server} begun={answer_started} timeout={}",
                 state.route.timeout
             ),
         );
-        let effect = match sent || state.ran > 0 {
-            _ if begun => Effect::Request(request, NextStep::AbortAnswer),
+        let effect = match sent || state.execution_count > 0 {
+            _ if answer_started => Effect::Request(request, NextStep::AbortAnswer),
             true => refusal(request, RefusalReason::TimedOut, None),
-            false => refusal(request, RefusalReason::Overloaded, Some(COME_BACK)),
+            false => refusal(request, RefusalReason::Overloaded, Some(RETRY_AFTER)),
         };
-        let ran = sent || state.ran > 0;
+        let may_have_run = sent || state.execution_count > 0;
         out.push(effect);
-        if !ran {
+        if !may_have_run {
             self.refund(request);
         }
-        self.end(request, Progress::Finished, out);
+        self.finish_request(request, Progress::Finished, out);
     }
 
-    /// The scheduler can't serve a request in time.
+    /// Handles the scheduler's reply that it can't place a request in time.
     pub(crate) fn handle_placement_refused(
         &mut self,
         request: RequestId,
@@ -210,51 +230,54 @@
         }
     }
 
-    /// Gives a request that is at no server its final answer.
+    /// Refuses a request that is at no server. The caller may retry after `after`, which it is told only if
+    /// the request has not run.
     pub(crate) fn refuse_request(
         &mut self,
         request: RequestId,
         after: Option<Span>,
-        why: RefusalDetail,
+        detail: RefusalDetail,
         out: &mut Effects,
     ) {
         let Some(state) = self.in_flight.get(&request) else {
             return;
         };
         let waited = self.now.since(state.arrived);
-        let ran = state.ran;
+        let ran = state.execution_count;
         let account = state.account.as_ref().map_or("-", |a| a.name.as_str());
-        let back = after.unwrap_or_default();
+        let retry_after = after.unwrap_or_default();
         Self::log(
             out,
             Code::Refused,
             format!(
-                "id={} call={} account={account} cost={} why={} waited={waited} sends={} ran={ran} after={back}",
+                "id={} call={} account={account} cost={} why={} waited={waited} sends={} ran={ran} after={retry_after}",
                 state.call.id,
                 state.call.fingerprint,
                 state.cost,
-                why.name(),
-                state.sends
+                detail.name(),
+                state.send_count
             ),
         );
-        metrics::count_for_service(out, Figure::Refused, &state.service, why.name());
+        metrics::count_for_service(out, Figure::Refused, &state.service, detail.name());
         out.push(refusal(
             request,
-            why.reason(ran),
+            detail.reason(ran),
             after.filter(|_| ran == 0),
         ));
         if ran == 0 {
             self.refund(request);
         }
-        self.end(request, Progress::Finished, out);
+        self.finish_request(request, Progress::Finished, out);
     }
 }
 
+/// Returns the effect that refuses a request. `after` is the time after which its caller may retry.
 pub(crate) fn refusal(request: RequestId, reason: RefusalReason, after: Option<Span>) -> Effect {
     Effect::Request(request, NextStep::Refuse(reason, after))
 }
 
-fn judge(health: &mut Health, cause: FailureCause, now: Instant) {
+/// Records a failed send in the health of its server. A rejection is not a failure of the server.
+fn record_health(health: &mut Health, cause: FailureCause, now: Instant) {
     match cause {
         FailureCause::Unreachable | FailureCause::Broken => health.record_connection_failure(now),
         FailureCause::Malformed | FailureCause::Status(_) => health.record_failure(now),
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Second sends: all VMs together keep to one budget, though each only knows its own.
+//! The retry budget: the VMs together keep to it, though each knows only its own part.
 
 mod support;
 
@@ -9,19 +9,20 @@
 use support::World;
 use support::setup::{name, request};
 
-/// The VMs, and the requests of ten seconds to a service that fails all it runs: each VM gets few, so that its own part of
-/// the budget is a fraction of a send.
+/// Number of VMs, and of requests in ten seconds to a service that fails all of them. Each VM gets so few
+/// requests that its part of the budget is less than one retry.
 const VMS: usize = 24;
 const REQUESTS: u32 = 1_000;
 
-/// Sends beyond the first of each request, over the given requests.
-fn repeats(world: &World, numbers: &[u64]) -> u32 {
+/// Returns the number of retries of the given requests.
+fn count_retries(world: &World, numbers: &[u64]) -> u32 {
     let arrivals = numbers.iter().map(|n| world.requests[n].arrivals);
     arrivals.map(|arrivals| arrivals.saturating_sub(1)).sum()
 }
 
-/// All that ran failed, and each may be sent once more by its kind: the second sends of all VMs in a window stay below the
-/// share of the requests and the allowance besides, and half of them are used, since they are there to serve.
+/// All requests run and fail, and their route allows one retry of each. The retries of all VMs in a window
+/// stay within the share of the requests plus the extra allowance. At least half of these are used, because
+/// unused retries serve nobody.
 #[test]
 fn budget_ofallvmsisshared() {
     let mut world = World::new(VMS, 2, 3);
@@ -35,21 +36,29 @@
     world.run(Span::from_secs(2));
     let tuning = Tuning::default();
     let allowed = tuning.retry_ratio * f64::from(REQUESTS) + tuning.retry_extra;
-    let used = f64::from(repeats(&world, &numbers));
-    assert!(used <= allowed, "{used} of {allowed}");
-    assert!(used >= allowed / 2.0, "{used} of {allowed}");
+    let retries = f64::from(count_retries(&world, &numbers));
+    assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
+    assert!(
+        retries >= allowed / 2.0,
+        "{retries} retries, {allowed} allowed"
+    );
     world.check_invariants();
 }
 
-/// A VM that never has to send again keeps no more than a window of its requests: it did so only where one was sent again,
-/// and a calm day of 100 requests a second would have kept nine million.
+/// A VM that never retries keeps no more than one window of its requests. Guards against a budget that
+/// dropped old requests only on a retry: at 100 requests per second it would have kept nine million after a
+/// day.
 #[test]
 fn budget_keepsawindow() {
     let mut budget = RetryBudget::default();
     let window = Span::from_secs(10);
     for at in 0..100_000 {
         let now = Instant::default() + Span::from_millis(10).times(at);
-        budget.request(now, window);
+        budget.record_request(now, window);
     }
-    assert!(budget.kept() <= 1_001, "{} kept", budget.kept());
+    assert!(
+        budget.recorded_count() <= 1_001,
+        "{} times kept",
+        budget.recorded_count()
+    );
 }
