--- a/crates/gateway/tests/fingerprint.rs
+++ b/crates/gateway/tests/fingerprint.rs
@@ -1,35 +1,37 @@
-//! By what a request that comes again is known.
+//! Fingerprints of requests.
 
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use quickcheck::{Gen, QuickCheck};
 
-fn check(property: fn(Vec<Vec<u8>>, Vec<Vec<u8>>) -> bool) {
+fn check_property(property: fn(Vec<Vec<u8>>, Vec<Vec<u8>>) -> bool) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(8, 23))
         .tests(2_000)
         .quickcheck(property);
 }
 
-fn of(parts: &[Vec<u8>]) -> Fingerprint {
+fn fingerprint_of(parts: &[Vec<u8>]) -> Fingerprint {
     Fingerprint::of(parts.iter().map(Vec::as_slice))
 }
 
-/// Requests have the same fingerprint where all their parts are the same, and only there.
+/// Two requests have the same fingerprint if and only if all their parts are equal.
 #[test]
-fn fingerprint_tellsrequestsapart() {
-    check(|one, other| (of(&one) == of(&other)) == (one == other));
-    check(|one, _| {
-        // The same bytes in other parts.
+fn fingerprint_distinguishesrequests() {
+    check_property(|one, other| (fingerprint_of(&one) == fingerprint_of(&other)) == (one == other));
+    check_property(|one, _| {
+        // The same bytes, split into parts differently.
         let joined = vec![one.concat()];
-        of(&one) != of(&joined) || one == joined
+        fingerprint_of(&one) != fingerprint_of(&joined) || one == joined
     });
 }
 
-/// It is written and read as the same.
+/// A fingerprint that is written and parsed again is unchanged, and malformed texts are rejected.
 #[test]
-fn fingerprint_iswrittenandread() {
-    check(|parts, _| of(&parts).to_string().parse() == Ok(of(&parts)));
-    for wrong in ["", "0", &"g".repeat(32), &"+".repeat(32), &"0".repeat(33)] {
-        assert!(wrong.parse::<Fingerprint>().is_err(), "{wrong}");
+fn fingerprint_isformattedandparsed() {
+    check_property(|parts, _| {
+        fingerprint_of(&parts).to_string().parse() == Ok(fingerprint_of(&parts))
+    });
+    for malformed in ["", "0", &"g".repeat(32), &"+".repeat(32), &"0".repeat(33)] {
+        assert!(malformed.parse::<Fingerprint>().is_err(), "{malformed}");
     }
 }
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -1,7 +1,8 @@
-//! Servers that say that they are leaving in their answers.
+//! Servers that announce in their answers that they are leaving.
 //!
-//! The bound is the users': no request that a caller sends later than two seconds after a VM was told reaches that server from that VM,
-//! whether or not the key-value service knows of it, and whoever places the request.
+//! The users' bound: after a VM was told, no request that a caller sends more than two seconds later reaches
+//! that server from that VM, whether or not the key-value service knows of it, and whoever chooses the
+//! server.
 
 mod support;
 
@@ -13,23 +14,24 @@
 use support::setup::{adapter_request, mixed_request};
 use support::world::Arrival;
 
-/// How long after a VM was told requests may still come from it: they may have been on their way.
+/// How long after a VM was told requests may still arrive from it: they may have been in transit.
 const BOUND: Span = Span::from_millis(500);
 
-/// That no request came later than a span after its VM was told.
-fn check(world: &World, server: &str, bound: Span) {
+/// Checks that no request arrived later than `bound` after its VM was told.
+fn check_leaving(world: &World, server: &str, bound: Span) {
     let late = world.requests_after_leaving(server, bound);
     let last = late.last();
     assert!(
         late.is_empty(),
-        "{server}: {} requests, {last:?}",
+        "{server}: {} late requests, the last one {last:?}",
         late.len()
     );
-    assert!(world.has_told_leaving(server), "{server} told nobody");
+    assert!(world.has_told_leaving(server), "{server} told no VM");
     world.check_invariants();
 }
 
-/// Guards against VMs that hear of it from the key-value service alone, which is away for as long.
+/// Guards against VMs that learn of a leaving server from the key-value service alone, which is unavailable
+/// here.
 #[test]
 fn leaving_engineinanoutage() {
     let mut world = World::under_load(9);
@@ -38,10 +40,10 @@
     world.run(Span::from_millis(900));
     world.announce_leaving("e3");
     world.send_heavy_load(Span::from_secs(12));
-    check(&world, "e3", BOUND);
+    check_leaving(&world, "e3", BOUND);
 }
 
-/// The same for a plain service, for which each VM chooses by itself.
+/// The same for a plain service, where each VM chooses servers by itself.
 #[test]
 fn leaving_plainserverinanoutage() {
     let mut world = World::under_load(9);
@@ -50,17 +52,18 @@
     world.run(Span::from_millis(900));
     world.announce_leaving("p0");
     world.send_heavy_load(Span::from_secs(12));
-    check(&world, "p0", BOUND);
+    check_leaving(&world, "p0", BOUND);
 }
 
-/// The requests that reached a server since a time.
-fn requests_since(world: &World, server: &str, since: Instant) -> usize {
-    let got = world.notices.arrivals.iter();
-    got.filter(|a| a.request && a.server.as_str() == server && a.at >= since)
+/// Returns the number of requests that reached a server since a time.
+fn count_requests_since(world: &World, server: &str, since: Instant) -> usize {
+    let arrivals = world.notices.arrivals.iter();
+    arrivals
+        .filter(|a| a.request && a.server.as_str() == server && a.at >= since)
         .count()
 }
 
-/// What one VM heard, the others take note of before each is told by itself.
+/// What one VM was told is known to the others before the server tells each of them.
 #[test]
 fn leaving_onevmtellsall() {
     let mut world = World::under_load(24);
@@ -72,15 +75,16 @@
     let since = world.now;
     world.send_heavy_load(Span::from_secs(6));
     for server in ["e3", "p0"] {
-        let got = requests_since(&world, server, since);
-        assert_eq!(got, 0, "{server} got {got} requests");
+        let count = count_requests_since(&world, server, since);
+        assert_eq!(count, 0, "{server} got {count} requests");
     }
     world.check_invariants();
 }
 
-/// An entry that is written anew as it was, or lapses and is back, says nothing newer than the server itself.
+/// An entry that is rewritten unchanged, or that disappears and returns, does not override the server's own
+/// announcement.
 #[test]
-fn leaving_olderwordundoesnothing() {
+fn leaving_staleentryundoesnothing() {
     let mut world = World::under_load(6);
     world.announce_leaving("e3");
     world.announce_leaving("p0");
@@ -99,13 +103,13 @@
     }
     world.send_heavy_load(Span::from_secs(4));
     for server in ["e3", "p0"] {
-        let got = requests_since(&world, server, since);
-        assert_eq!(got, 0, "{server} got {got} requests");
+        let count = count_requests_since(&world, server, since);
+        assert_eq!(count, 0, "{server} got {count} requests");
     }
     world.check_invariants();
 }
 
-/// A server that starts again under the id that it had is as good as any.
+/// A server that restarts under the id that it had gets as many requests as others.
 #[test]
 fn leaving_startsagain() {
     let mut world = World::under_load(6);
@@ -119,18 +123,19 @@
     world.send_heavy_load(Span::from_secs(3));
     let since = world.now;
     world.send_heavy_load(Span::from_secs(4));
-    // Adapters that no engine holds go where there is room.
+    // Adapters that no engine holds are loaded where there is room.
     world.send_requests(100, Span::from_millis(20), |at| {
         adapter_request(&format!("n{at}"), &format!("b{}", at % 20))
     });
     for server in ["e3", "p0"] {
-        let got = requests_since(&world, server, since);
-        assert!(got >= 5, "{server} got {got} requests");
+        let count = count_requests_since(&world, server, since);
+        assert!(count >= 5, "{server} got {count} requests");
     }
     world.check_invariants();
 }
 
-/// All servers of both services leave at once: until others come they are used for a while, and then callers are refused at once.
+/// All servers of both services leave at once. They are used for a while in the absence of others, and after
+/// that callers are refused at once until other servers come.
 #[test]
 fn leaving_allatonce() {
     let mut world = World::under_load(6);
@@ -143,33 +148,34 @@
     let first = world.send_heavy_load(Span::from_millis(900));
     world.run(Span::from_secs(1));
     world.check_served(&first, 90);
-    // By then each of them was asked and has told a VM.
+    // After this load each server has had requests and has told a VM.
     world.send_heavy_load(Span::from_secs(2));
     world.run(Span::from_secs(1));
     let late = world.send_heavy_load(Span::from_secs(2));
     world.run(Span::from_secs(2));
     for server in ["e0", "e7", "p0", "p3"] {
-        check(&world, server, Span::from_millis(1_200));
+        check_leaving(&world, server, Span::from_millis(1_200));
     }
-    let held = world.refusal_delays(&late);
+    let delays = world.refusal_delays(&late);
     let longest = world.longest_refusal_delay(&late);
-    assert_eq!(held.len(), late.len(), "some were not refused");
+    assert_eq!(delays.len(), late.len(), "some requests were not refused");
     assert!(
         longest <= Span::from_millis(300),
-        "one was held for {longest}"
+        "a refusal took {longest}"
     );
     for number in 12..20 {
         world.add_server(&format!("e{number}"), number, true);
     }
     world.add_server("p4", 4, false);
     world.send_heavy_load(Span::from_secs(2));
-    let back = world.send_heavy_load(Span::from_secs(2));
+    let after_return = world.send_heavy_load(Span::from_secs(2));
     world.run(Span::from_secs(2));
-    world.check_served(&back, 90);
+    world.check_served(&after_return, 90);
     world.check_invariants();
 }
 
-/// The scheduler's VM is killed, stands still, is cut off from the others, and none schedules.
+/// The VM of the scheduler is frozen, then cut off from the others, then the next one is killed, while no VM
+/// can take over the leadership.
 #[test]
 fn leaving_schedulerchanges() {
     let mut world = World::under_load(6);
@@ -188,16 +194,17 @@
         world.send_heavy_load(Span::from_secs(4));
         world.vms[holder].peers_reachable = true;
     }
-    check(&world, "e3", BOUND);
+    check_leaving(&world, "e3", BOUND);
 }
 
-/// Servers say so in random series of faults. What a VM was told holds for it whatever happens.
+/// Servers announce that they are leaving in a random series of faults. What a VM was told holds for that VM
+/// in any case.
 #[test]
 fn leaving_amongfaults() {
     for seed in 0..seeds(10) {
         let mut series = FaultSeries::new(seed);
         let end = series.world.now + Span::from_secs(40);
-        let (mut asked, mut leaving) = (0_usize, Vec::new());
+        let (mut request_count, mut leaving) = (0_usize, Vec::new());
         while series.world.now < end {
             series.step();
             if series.rng.random_bool(0.01) && leaving.len() < 8 {
@@ -209,10 +216,10 @@
                 leaving.push(server);
             }
             for _ in 0..3 {
-                asked += 1;
+                request_count += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.send_request(vm, mixed_request(asked));
+                    series.world.send_request(vm, mixed_request(request_count));
                 }
             }
         }
@@ -229,39 +236,47 @@
     }
 }
 
-/// Guards against a scheduler that gives a request the same place again and again: it has heard later than the request's VM that all
-/// engines leave, and still uses them.
+/// Guards against a scheduler that places a request on the same server again and again: it learns later than
+/// the VM of the request that all engines are leaving, and still uses them.
 #[test]
-fn leaving_declinedplaceisnotgivenagain() {
-    let weak = 5;
-    let mut world = World::with_strengths(&[25, 25, 25, 25, 25, weak], 12, 4, Tuning::default());
+fn leaving_declinedplacementisnotrepeated() {
+    let weak_strength = 5;
+    let mut world = World::with_strengths(
+        &[25, 25, 25, 25, 25, weak_strength],
+        12,
+        4,
+        Tuning::default(),
+    );
     world.run(Span::from_secs(2));
     world.send_heavy_load(Span::from_secs(2));
     for server in 0..12 {
         world.announce_leaving(&format!("e{server}"));
     }
     world.send_heavy_load(Span::from_millis(1_500));
-    // The weak VM knows of it, and tells the scheduler that comes after all others were killed.
-    let knows = 5;
-    for vm in (0..6).filter(|vm| *vm != knows) {
+    // This weak VM knows it, and informs the scheduler that replaces the one on a killed VM.
+    let informed_vm = 5;
+    for vm in (0..6).filter(|vm| *vm != informed_vm) {
         world.kill(vm, false);
     }
     let before = world.messages_by_kind["place"];
-    let mut asked = 0;
+    let mut request_count = 0;
     for at in 0..150 {
         world.send_request(
-            knows,
+            informed_vm,
             adapter_request(&format!("d{at}"), &format!("a{}", at % 12)),
         );
         world.run(Span::from_millis(20));
-        asked += 1;
+        request_count += 1;
     }
-    let given = world.messages_by_kind["place"] - before;
-    assert!(given <= asked * 2, "{given} places for {asked} requests");
+    let placements = world.messages_by_kind["place"] - before;
+    assert!(
+        placements <= request_count * 2,
+        "{placements} placements for {request_count} requests"
+    );
     world.check_invariants();
 }
 
-/// A VM that starts hears what servers said to others before it sends them anything.
+/// A VM that starts learns what servers told others before it sends them anything.
 #[test]
 fn leaving_newvmistold() {
     let mut world = World::under_load(6);
@@ -269,11 +284,11 @@
     world.wake_watchers();
     world.announce_leaving("p0");
     world.send_heavy_load(Span::from_secs(2));
-    // The only one in the availability zone of that server that is asked for plain services.
+    // VM 0 is the only one in that server's availability zone that gets requests for plain services.
     world.kill(0, false);
     world.run(Span::from_secs(1));
     let since = world.now;
     world.send_heavy_load(Span::from_secs(4));
-    assert_eq!(requests_since(&world, "p0", since), 0);
+    assert_eq!(count_requests_since(&world, "p0", since), 0);
     world.check_invariants();
 }
--- a/crates/gateway/tests/limit.rs
+++ b/crates/gateway/tests/limit.rs
@@ -1,7 +1,8 @@
-//! Servers that name the requests a second that they take from all VMs together.
+//! Servers that limit the requests per second that they accept from all VMs together.
 //!
-//! The bound is the users': in four seconds at most one and a half times what the limit allows, and five requests, from half a second
-//! after it was first named. Orders and questions for reports count as well.
+//! The users' bound: from half a second after the first announcement, any four seconds contain at most one
+//! and a half times the requests that the limit allows, plus five. Orders and report queries count as
+//! requests.
 
 mod support;
 
@@ -12,9 +13,9 @@
 use support::setup::{mixed_request, request};
 use support::{Answer, World};
 
-/// Guards against a fleet whose VMs don't read the limit that an engine names.
+/// Guards against VMs that ignore the limit that an engine announces.
 #[test]
-fn limit_namedbyengines() {
+fn limit_announcedbyengines() {
     let mut world = World::under_load(6);
     world.announce_limit("e0", Some(Rate(1_000)));
     world.announce_limit("e1", Some(Rate(1_900)));
@@ -23,9 +24,9 @@
     world.check_invariants();
 }
 
-/// The same for a plain service, for which each VM chooses by itself.
+/// The same for a plain service, where each VM chooses servers by itself.
 #[test]
-fn limit_namedbyplainservers() {
+fn limit_announcedbyplainservers() {
     let mut world = World::under_load(6);
     world.announce_limit("p0", Some(Rate(1_000)));
     world.announce_limit("p1", Some(Rate(200)));
@@ -34,7 +35,7 @@
     world.check_invariants();
 }
 
-/// Far fewer requests a second than there are VMs, of which each is told by itself.
+/// The limits are far below one request per second and VM, and each server has to tell each VM separately.
 #[test]
 fn limit_belowoneforeachvm() {
     for vms in [70, 300] {
@@ -46,13 +47,13 @@
         world.send_heavy_load(Span::from_secs(8));
         world.check_limits();
         world.check_invariants();
-        // What it would take is not left unused either.
-        let got = world.arrivals_at("p0", since);
-        assert!(got >= 5, "{vms} VMs: {got} arrivals in 8 s");
+        // The limit is not left unused either.
+        let arrivals = world.arrivals_at("p0", since);
+        assert!(arrivals >= 5, "{vms} VMs: {arrivals} arrivals in 8 s");
     }
 }
 
-/// A limit that rises and falls, and is no more; then the server gets as much as others soon.
+/// A limit rises, falls and ends. After that the server soon gets as many requests as others.
 #[test]
 fn limit_changesandends() {
     let mut world = World::under_load(6);
@@ -64,22 +65,26 @@
     world.check_limits();
     world.announce_limit("e0", None);
     world.announce_limit("p0", None);
-    // It is in the same availability zone.
+    // A server in the same availability zone, for comparison.
     world.announce_limit("p3", None);
     world.send_heavy_load(Span::from_secs(5));
     let since = world.now;
     world.send_heavy_load(Span::from_secs(5));
-    let (freed, other) = (
+    let (unlimited, other) = (
         world.arrivals_at("p0", since),
         world.arrivals_at("p3", since),
     );
-    assert!(freed * 2 >= other, "{freed} arrivals of {other}");
+    assert!(
+        unlimited * 2 >= other,
+        "{unlimited} arrivals, {other} at the other server"
+    );
     world.check_invariants();
 }
 
-/// A server that takes nothing at all is asked now and then whether that has ended.
+/// A server with a limit of zero still gets a request from time to time, which shows whether the limit has
+/// ended.
 #[test]
-fn limit_nothingatall() {
+fn limit_ofzero() {
     let mut world = World::under_load(6);
     world.announce_limit("e0", Some(Rate(0)));
     world.announce_limit("p0", Some(Rate(0)));
@@ -91,13 +96,14 @@
     let since = world.now;
     world.send_heavy_load(Span::from_secs(5));
     for server in ["e0", "p0"] {
-        let got = world.arrivals_at(server, since);
-        assert!(got >= 5, "{server}: {got} arrivals in 5 s");
+        let arrivals = world.arrivals_at(server, since);
+        assert!(arrivals >= 5, "{server}: {arrivals} arrivals in 5 s");
     }
     world.check_invariants();
 }
 
-/// All servers of a service name a limit below the load: what they take is used, and the rest refused at once, at times that differ.
+/// All servers of a service limit their requests below the load. The limits are used in full, and further
+/// callers are refused at once, with retry times that differ.
 #[test]
 fn limit_allplainservers() {
     let mut world = World::under_load(6);
@@ -107,7 +113,7 @@
     world.send_heavy_load(Span::from_secs(2));
     let before = world.total_served();
     let since = world.now;
-    let asked = world.send_requests(200, Span::from_millis(40), |at| {
+    let numbers = world.send_requests(200, Span::from_millis(40), |at| {
         request(&format!("s{at}"), "/query/x", 2_000, None)
     });
     world.run(Span::from_secs(3));
@@ -116,15 +122,15 @@
     let served = world.total_served() - before;
     assert!(
         (24..=48).contains(&served),
-        "{served} served in 8 s at 4 a second"
+        "{served} served in 8 s at 4 per second"
     );
-    let held = world.refusal_delays(&asked);
-    let longest = world.longest_refusal_delay(&asked);
+    let delays = world.refusal_delays(&numbers);
+    let longest = world.longest_refusal_delay(&numbers);
     assert!(
         longest <= Span::from_millis(300),
-        "one was held for {longest}"
+        "a refusal took {longest}"
     );
-    let back: std::collections::BTreeSet<Span> = asked
+    let retry_times: std::collections::BTreeSet<Span> = numbers
         .iter()
         .filter_map(|number| match world.answer(*number) {
             Some(Answer::Refused(_, after)) => *after,
@@ -132,14 +138,14 @@
         })
         .collect();
     assert!(
-        back.len() * 4 >= held.len(),
-        "{} times for {} callers since {since}",
-        back.len(),
-        held.len()
+        retry_times.len() * 4 >= delays.len(),
+        "{} retry times for {} callers since {since}",
+        retry_times.len(),
+        delays.len()
     );
 }
 
-/// All engines do.
+/// The same for all engines.
 #[test]
 fn limit_allengines() {
     let mut world = World::under_load(6);
@@ -147,20 +153,21 @@
         world.announce_limit(&format!("e{server}"), Some(Rate(1_000)));
     }
     world.send_heavy_load(Span::from_secs(3));
-    let asked = world.send_heavy_load(Span::from_secs(8));
+    let numbers = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(6));
     world.check_limits();
     world.check_invariants();
-    let served = world.count_served(&asked);
-    assert!(served >= 60, "{served} served in 8 s at 12 a second");
-    let longest = world.longest_refusal_delay(&asked);
+    let served = world.count_served(&numbers);
+    assert!(served >= 60, "{served} served in 8 s at 12 per second");
+    let longest = world.longest_refusal_delay(&numbers);
     assert!(
         longest <= Span::from_millis(1_300),
-        "one was held for {longest}"
+        "a refusal took {longest}"
     );
 }
 
-/// The scheduler's VM is killed, stands still, is cut off from the others, and none schedules while the key-value service is away.
+/// The VM of the scheduler is killed, then frozen, then cut off from the others, and finally the key-value
+/// service is unavailable.
 #[test]
 fn limit_schedulerchanges() {
     let mut world = World::under_load(6);
@@ -177,8 +184,8 @@
             }
         }
         world.send_heavy_load(Span::from_secs(4));
-        for host in &mut world.vms {
-            host.peers_reachable = true;
+        for vm in &mut world.vms {
+            vm.peers_reachable = true;
         }
     }
     world.store_up = true;
@@ -187,13 +194,14 @@
     world.check_invariants();
 }
 
-/// Limits come, change and go in random series of faults; what VMs sent that were well and had been told counts.
+/// Limits are announced in a random series of faults. Requests count that a VM sent which had no recent fault
+/// and had known of the limit for half a second.
 #[test]
 fn limit_amongfaults() {
     for seed in 0..seeds(10) {
         let mut series = FaultSeries::new(seed);
         let end = series.world.now + Span::from_secs(40);
-        let mut asked = 0_usize;
+        let mut request_count = 0_usize;
         let servers: Vec<String> = (0..16)
             .map(|at| format!("e{at}"))
             .chain((0..4).map(|at| format!("p{at}")))
@@ -211,25 +219,25 @@
                 }
             }
             for _ in 0..3 {
-                asked += 1;
+                request_count += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.send_request(vm, mixed_request(asked));
+                    series.world.send_request(vm, mixed_request(request_count));
                 }
             }
         }
         for (_, server) in &limited {
-            let over = series.world.windows_over_limit_where(server, |arrival| {
+            let windows = series.world.windows_over_limit_where(server, |arrival| {
                 arrival.limit_known && series.was_fault_free(arrival.vm, arrival.at)
             });
             assert!(
-                over.is_empty(),
+                windows.is_empty(),
                 "seed {seed} {server}: {} windows, {:?}",
-                over.len(),
-                over[0]
+                windows.len(),
+                windows[0]
             );
         }
-        assert!(!limited.is_empty(), "seed {seed}: no limit was named");
+        assert!(!limited.is_empty(), "seed {seed}: no limit was announced");
         series.world.check_invariants();
     }
 }
--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -1,7 +1,7 @@
-//! Servers that turn requests away and ask the VM that sent them for rest.
+//! Servers that reject requests and ask the VM that sent them for a cooldown.
 //!
-//! The bound is the users': at most two requests reach such a server from that VM between half a second after the answer and the end of
-//! the time that it names. Orders and questions for reports count as well.
+//! The users' bound: at most two requests reach such a server from that VM between half a second after the
+//! answer and the end of the cooldown. Orders and report queries count as requests.
 
 mod support;
 
@@ -11,126 +11,131 @@
 use support::series::{FaultSeries, VMS, seeds};
 use support::setup::mixed_request;
 
-/// What the recorded engines asked for.
-const REST: Span = Span::from_secs(3);
-/// Requests that are allowed in it.
+/// The cooldown that recorded engines asked for.
+const COOLDOWN: Span = Span::from_secs(3);
+/// Number of requests that are allowed in a cooldown.
 const ALLOWED: usize = 2;
 
-fn check(world: &World, server: &str) {
-    let most = world.max_arrivals_in_cooldown(server);
-    let asked = world.notices.rests.len();
-    assert!(asked > 0, "no rest was asked for");
+fn check_cooldowns(world: &World, server: &str) {
+    let max_arrivals = world.max_arrivals_in_cooldown(server);
+    let cooldowns = world.notices.rests.len();
+    assert!(cooldowns > 0, "no server asked for a cooldown");
     assert!(
-        most <= ALLOWED,
-        "{server}: {most} requests in one of {asked} rests"
+        max_arrivals <= ALLOWED,
+        "{server}: {max_arrivals} requests in one of {cooldowns} cooldowns"
     );
     world.check_invariants();
 }
 
-/// Guards against VMs that don't read for how long an engine wants nothing of them.
+/// Guards against VMs that ignore the cooldown that an engine asks for.
 #[test]
 fn rest_askedbyengines() {
     let mut world = World::under_load(6);
-    world.announce_cooldown("e0", Some(REST));
-    world.announce_cooldown("e1", Some(REST));
+    world.announce_cooldown("e0", Some(COOLDOWN));
+    world.announce_cooldown("e1", Some(COOLDOWN));
     world.send_heavy_load(Span::from_secs(8));
-    check(&world, "e0");
-    check(&world, "e1");
+    check_cooldowns(&world, "e0");
+    check_cooldowns(&world, "e1");
 }
 
-/// The same for a plain service, for which each VM chooses by itself.
+/// The same for a plain service, where each VM chooses servers by itself.
 #[test]
 fn rest_askedbyplainservers() {
     let mut world = World::under_load(6);
-    world.announce_cooldown("p0", Some(REST));
+    world.announce_cooldown("p0", Some(COOLDOWN));
     world.send_heavy_load(Span::from_secs(8));
-    check(&world, "p0");
+    check_cooldowns(&world, "p0");
 }
 
-/// The requests that servers turned away since a time: those that came to one that rests.
-fn turned_away(world: &World, since: Instant) -> usize {
-    let rests = world.notices.rests.iter();
-    rests.filter(|rest| rest.at >= since).count()
+/// Returns the number of requests that servers rejected for a cooldown since a time.
+fn count_rejected(world: &World, since: Instant) -> usize {
+    let cooldowns = world.notices.rests.iter();
+    cooldowns.filter(|cooldown| cooldown.at >= since).count()
 }
 
-/// A third of the engines rest for long. Who chooses takes note of all that asked for it, so that hardly a request is turned away twice,
-/// and none waits for it.
+/// A third of the engines ask for cooldowns for a long time. The scheduler respects all of them, so that
+/// hardly any request is rejected twice, and no request waits for the end of a cooldown.
 #[test]
 fn rest_manyservers() {
     let mut world = World::under_load(6);
     let since = world.now;
     for server in 0..4 {
-        world.announce_cooldown(&format!("e{server}"), Some(REST));
+        world.announce_cooldown(&format!("e{server}"), Some(COOLDOWN));
     }
-    let asked = world.send_heavy_load(Span::from_secs(9));
+    let numbers = world.send_heavy_load(Span::from_secs(9));
     world.run(Span::from_secs(2));
     for server in 0..4 {
-        check(&world, &format!("e{server}"));
+        check_cooldowns(&world, &format!("e{server}"));
     }
-    let away = turned_away(&world, since);
-    assert!(away <= 80, "{away} turned away in 9 s");
-    let often = asked.iter().filter(|n| world.requests[n].arrivals > 2);
+    let rejected = count_rejected(&world, since);
+    assert!(rejected <= 80, "{rejected} requests rejected in 9 s");
+    let retried = numbers.iter().filter(|n| world.requests[n].arrivals > 2);
     assert!(
-        often.count() <= 5,
-        "requests were turned away again and again"
+        retried.count() <= 5,
+        "requests were rejected again and again"
     );
-    world.check_served(&asked, 97);
+    world.check_served(&numbers, 97);
 }
 
-/// When its time is over what waited does not come at once, and when it takes requests again it is as good as any, with the adapters
-/// that it had.
+/// After a cooldown the requests that waited do not arrive all at once. When the server accepts requests
+/// again it gets as many as others, and still has its adapters.
 #[test]
 fn rest_ends() {
     let mut world = World::under_load(6);
-    world.announce_cooldown("e0", Some(REST));
-    world.announce_cooldown("p0", Some(REST));
+    world.announce_cooldown("e0", Some(COOLDOWN));
+    world.announce_cooldown("p0", Some(COOLDOWN));
     world.send_heavy_load(Span::from_secs(4));
     let loads = world.servers["e0"].0.loads;
     world.announce_cooldown("e0", None);
     world.announce_cooldown("p0", None);
-    world.send_heavy_load(REST);
+    world.send_heavy_load(COOLDOWN);
     let since = world.now;
     world.send_heavy_load(Span::from_secs(4));
-    let got = |server: &str| world.arrivals_at(server, since);
+    let arrivals = |server: &str| world.arrivals_at(server, since);
     assert!(
-        got("e0") >= 5 && got("p0") >= 5,
+        arrivals("e0") >= 5 && arrivals("p0") >= 5,
         "{} {}",
-        got("e0"),
-        got("p0")
+        arrivals("e0"),
+        arrivals("p0")
     );
-    let anew = world.servers["e0"].0.loads - loads;
-    assert!(anew <= 5, "{anew} loads after a rest");
+    let reloads = world.servers["e0"].0.loads - loads;
+    assert!(reloads <= 5, "{reloads} loads after a cooldown");
     world.check_invariants();
 }
 
-/// All servers of both services rest: callers are refused at once, and told times at which they don't come back together.
+/// All servers of both services ask for a cooldown. Callers are refused at once, with retry times that
+/// differ.
 #[test]
 fn rest_allatonce() {
     let mut world = World::under_load(6);
     for server in 0..12 {
-        world.announce_cooldown(&format!("e{server}"), Some(REST));
+        world.announce_cooldown(&format!("e{server}"), Some(COOLDOWN));
     }
     for server in 0..4 {
-        world.announce_cooldown(&format!("p{server}"), Some(REST));
+        world.announce_cooldown(&format!("p{server}"), Some(COOLDOWN));
     }
     world.send_heavy_load(Span::from_secs(1));
-    let asked = world.send_heavy_load(Span::from_secs(8));
+    let numbers = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(6));
     for server in ["e0", "e7", "p0", "p3"] {
-        check(&world, server);
+        check_cooldowns(&world, server);
     }
-    let held = world.refusal_delays(&asked);
-    let longest = world.longest_refusal_delay(&asked);
-    assert_eq!(held.len(), asked.len(), "some were not refused");
+    let delays = world.refusal_delays(&numbers);
+    let longest = world.longest_refusal_delay(&numbers);
+    assert_eq!(
+        delays.len(),
+        numbers.len(),
+        "some requests were not refused"
+    );
     assert!(
         longest <= Span::from_millis(1_200),
-        "one was held for {longest}"
+        "a refusal took {longest}"
     );
-    let mean = held.iter().map(|span| span.0).sum::<u64>() / held.len() as u64;
-    assert!(mean <= 300_000, "they were held for {mean} us");
+    let mean = delays.iter().map(|span| span.0).sum::<u64>() / delays.len() as u64;
+    assert!(mean <= 300_000, "refusals took {mean} us on average");
 }
 
-/// No rest at all, and one that is longer than any outage.
+/// A cooldown of zero, and one that is longer than any outage.
 #[test]
 fn rest_noneandlong() {
     let mut world = World::under_load(6);
@@ -138,19 +143,20 @@
     world.announce_cooldown("e1", Some(Span::from_secs(600)));
     world.announce_cooldown("p0", Some(Span::ZERO));
     world.announce_cooldown("p1", Some(Span::from_secs(600)));
-    let asked = world.send_heavy_load(Span::from_secs(8));
+    let numbers = world.send_heavy_load(Span::from_secs(8));
     world.run(Span::from_secs(2));
-    check(&world, "e1");
-    check(&world, "p1");
-    world.check_served(&asked, 95);
+    check_cooldowns(&world, "e1");
+    check_cooldowns(&world, "p1");
+    world.check_served(&numbers, 95);
 }
 
-/// The scheduler's VM is killed, stands still, is cut off from the others, and none schedules: each VM keeps what it was asked.
+/// The VM of the scheduler is killed, then frozen, then cut off from the others, and finally the key-value
+/// service is unavailable. Each VM keeps to the cooldowns that it was asked for.
 #[test]
 fn rest_schedulerchanges() {
     let mut world = World::under_load(6);
-    world.announce_cooldown("e0", Some(REST));
-    world.announce_cooldown("e5", Some(REST));
+    world.announce_cooldown("e0", Some(COOLDOWN));
+    world.announce_cooldown("e5", Some(COOLDOWN));
     for round in 0..4 {
         world.send_heavy_load(Span::from_secs(1));
         let holder = world.holder().unwrap_or(round);
@@ -163,17 +169,17 @@
         world.send_heavy_load(Span::from_secs(4));
         world.vms[holder].peers_reachable = true;
     }
-    check(&world, "e0");
-    check(&world, "e5");
+    check_cooldowns(&world, "e0");
+    check_cooldowns(&world, "e5");
 }
 
-/// Servers ask for rest and take requests again in random series of faults.
+/// Servers ask for cooldowns and accept requests again in a random series of faults.
 #[test]
 fn rest_amongfaults() {
     for seed in 0..seeds(10) {
         let mut series = FaultSeries::new(seed);
         let end = series.world.now + Span::from_secs(40);
-        let (mut asked, mut resting) = (0_usize, Vec::new());
+        let (mut request_count, mut servers) = (0_usize, Vec::new());
         while series.world.now < end {
             series.step();
             if series.rng.random_bool(0.03) {
@@ -181,31 +187,31 @@
                     0 => format!("p{}", series.rng.random_range(0..4)),
                     _ => format!("e{}", series.rng.random_range(0..16)),
                 };
-                let rest = [0, 500, 3_000, 8_000][series.rng.random_range(0..4)];
-                let rest = series
+                let millis = [0, 500, 3_000, 8_000][series.rng.random_range(0..4)];
+                let cooldown = series
                     .rng
                     .random_bool(0.6)
-                    .then_some(Span::from_millis(rest));
-                series.world.announce_cooldown(&server, rest);
-                resting.push(server);
+                    .then_some(Span::from_millis(millis));
+                series.world.announce_cooldown(&server, cooldown);
+                servers.push(server);
             }
             for _ in 0..3 {
-                asked += 1;
+                request_count += 1;
                 let vm = series.rng.random_range(0..VMS);
                 if series.world.vms[vm].gateway.is_some() {
-                    series.world.send_request(vm, mixed_request(asked));
+                    series.world.send_request(vm, mixed_request(request_count));
                 }
             }
         }
-        resting.sort_unstable();
-        resting.dedup();
-        for server in &resting {
-            let most = series
+        servers.sort_unstable();
+        servers.dedup();
+        for server in &servers {
+            let max_arrivals = series
                 .world
                 .max_arrivals_in_cooldown_where(server, |a| series.was_fault_free(a.vm, a.at));
             assert!(
-                most <= ALLOWED,
-                "seed {seed} {server}: {most} requests in a rest"
+                max_arrivals <= ALLOWED,
+                "seed {seed} {server}: {max_arrivals} requests in a cooldown"
             );
         }
         assert!(!series.world.notices.rests.is_empty(), "seed {seed}");
