--- a/crates/gateway/src/request/load_balancer.rs
+++ b/crates/gateway/src/request/load_balancer.rs
@@ -97,11 +97,11 @@
         let staying = servers
             .clone()
             .filter(|(server, _)| self.notices.leaving(server).is_none());
-        let leaving_servers =
+        let available =
             servers.filter(|(server, _)| !self.notices.has_left(server, now, last_resort_period));
         let (settings, rng) = (&self.settings, &mut self.rng);
         cheapest(staying, failed, settings, now, rng)
-            .or_else(|| cheapest(leaving_servers, failed, settings, now, rng))
+            .or_else(|| cheapest(available, failed, settings, now, rng))
     }
 }
 
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -203,12 +203,12 @@
     /// Returns the notices of all servers of a service, whether received by this VM or from others, as
     /// messages for a new scheduler.
     pub(crate) fn notice_messages(&self, service: &Service) -> Vec<Message> {
-        let of = |server: &Server| self.service_of(server).as_ref() == Some(service);
+        let is_of_service = |server: &Server| self.service_of(server).as_ref() == Some(service);
         let by_server = self
             .notices
             .by_server
             .iter()
-            .filter(|(server, _)| of(server));
+            .filter(|(server, _)| is_of_service(server));
         let messages = by_server.flat_map(|(server, notice)| {
             let cooldown = notice.cooldown_until.since(self.now);
             let cooldown =
--- a/crates/gateway/src/request/notice/permit.rs
+++ b/crates/gateway/src/request/notice/permit.rs
@@ -110,10 +110,10 @@
     ) {
         let version = match self.in_flight.get(&request).map(|state| &state.phase) {
             Some(Phase::Permit {
-                server: of,
+                server: expected,
                 version,
                 ..
-            }) if of == server => *version,
+            }) if expected == server => *version,
             _ => return,
         };
         let accepts = self.accepts_requests(server);
--- a/crates/gateway/src/request/quarantine/record.rs
+++ b/crates/gateway/src/request/quarantine/record.rs
@@ -165,7 +165,7 @@
     }
 
     fn call_for_goal(&mut self, fingerprint: Fingerprint, goal: Goal, out: &mut Effects) {
-        let subject = EntryKey::Quarantine(fingerprint);
+        let key = EntryKey::Quarantine(fingerprint);
         let existing = self.record_revision(fingerprint);
         let lease = self.quarantine.records.reusable_lease(self.now);
         let purpose = Purpose::Record(fingerprint);
@@ -175,12 +175,10 @@
                 self.quarantine.records.goals.insert(fingerprint, retry);
                 return;
             }
-            (Goal::Absent(_), Some(revision), _) => {
-                (purpose, KvOperation::Remove(subject, revision))
-            }
+            (Goal::Absent(_), Some(revision), _) => (purpose, KvOperation::Remove(key, revision)),
             (Goal::Present, _, Some(lease)) => {
-                let change = proposed_change(subject.clone(), EntryValue::Quarantine);
-                (purpose, KvOperation::Put(change, lease, vec![(subject, 0)]))
+                let change = proposed_change(key.clone(), EntryValue::Quarantine);
+                (purpose, KvOperation::Put(change, lease, vec![(key, 0)]))
             }
             (Goal::Present, _, None) => {
                 (Purpose::Lease, KvOperation::GrantLease(QUARANTINE_DURATION))
