--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -21,9 +21,9 @@
 use crate::node::Gateway;
 use crate::request::state::refusal;
 
-/// The largest age of the key-value service's last answer with which a key that is not in the configuration counts as
-/// unknown. A healthy VM learns of an answer within 1.4 s; with an older answer the VM may not know the version of the
-/// configuration that holds the key.
+/// The greatest age of the key-value service's last answer at which a key that is not in the configuration is refused
+/// as unknown. A healthy VM learns of an answer within 1.4 s; if the last answer is older, the VM may not know the
+/// version of the configuration that holds the key.
 const MAX_ANSWER_AGE: Span = Span::from_millis(1_500);
 
 /// The time after which a caller may retry if this VM may not know its key yet: about the time in which a VM without
@@ -37,7 +37,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number as a float, for arithmetic with fractions.
+            /// Returns the number as a float, for arithmetic with fractions.
             #[must_use]
             #[allow(clippy::cast_precision_loss)]
             pub const fn as_f64(self) -> f64 {
@@ -73,7 +73,8 @@
 pub enum Unit {
     /// Requests: each counts as 1.
     Requests,
-    /// Tokens: a request counts as the number that the caller gives, or as this number if the caller gives none.
+    /// Tokens: a request counts as the number of tokens that the caller gives, or as this number if the caller gives
+    /// none.
     Tokens(Tokens),
 }
 
@@ -82,7 +83,7 @@
 pub struct TokenLimit {
     /// Tokens per second in the long run.
     pub rate: TokenRate,
-    /// Tokens that may be used in addition at one time.
+    /// Tokens that may be used at once in addition to the rate.
     pub burst: Tokens,
 }
 
@@ -93,7 +94,7 @@
     pub name: Tenant,
     /// The API keys of its callers.
     pub keys: Vec<AccountKey>,
-    /// The priority of its requests, lower numbers first; none where that of the route applies.
+    /// The priority of its requests, lower numbers first; none where the priority of the route applies.
     pub priority: Option<u8>,
     /// What its quota counts.
     pub unit: Unit,
@@ -102,7 +103,7 @@
 }
 
 impl Account {
-    /// The number of tokens to charge for a request, given the number that the caller gives.
+    /// Returns the number of tokens to charge for a request, given the number that the caller gives.
     #[must_use]
     pub fn cost(&self, given: Option<Tokens>) -> Tokens {
         match self.unit {
@@ -115,7 +116,7 @@
 /// The accounts of a configuration by API key.
 #[derive(Clone, Debug, Default)]
 pub struct AccountIndex {
-    /// Whether requests need a key. It is false if the configuration has no accounts.
+    /// Whether requests need a key; false if the configuration has no accounts.
     required: bool,
     /// The account that holds each key.
     by_key: FxHashMap<AccountKey, Arc<Account>>,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The account that holds a key.
+    /// Returns the account that holds a key.
     #[must_use]
     pub fn find(&self, key: &AccountKey) -> Option<&Arc<Account>> {
         self.by_key.get(key)
@@ -141,8 +142,8 @@
 }
 
 impl Gateway {
-    /// Finds the account of a request. Returns `None` if the request needs no account, and an error if it must be
-    /// refused.
+    /// Finds the account of a request. Returns `None` if the request needs no account, and an error if the request must
+    /// be refused.
     pub(crate) fn identify(
         &self,
         route: &Route,
--- a/crates/gateway/src/account/key.rs
+++ b/crates/gateway/src/account/key.rs
@@ -11,18 +11,18 @@
 /// The context of the key derivation function, so that a key's digest differs from digests of the same bytes elsewhere.
 const CONTEXT: &str = "dahliastile client account key";
 
-/// The API key of a caller. It holds only a digest, so that no code can print the key or send it to anybody.
+/// The API key of a caller. Holds only a digest of the key's text, so that no code can print or send the text.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct AccountKey([u8; 32]);
 
 impl AccountKey {
-    /// Makes a key from its text. Returns `None` unless that is 1 to [`MAX_KEY_BYTES`] printable ASCII characters
+    /// Makes a key from its text. Returns `None` unless the text is 1 to [`MAX_KEY_BYTES`] printable ASCII characters
     /// without spaces.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Option<Self> {
-        let fits = (1..=MAX_KEY_BYTES).contains(&bytes.len());
-        let printable = bytes.iter().all(u8::is_ascii_graphic);
-        (fits && printable).then(|| Self(blake3::derive_key(CONTEXT, bytes)))
+        let has_valid_length = (1..=MAX_KEY_BYTES).contains(&bytes.len());
+        let is_printable = bytes.iter().all(u8::is_ascii_graphic);
+        (has_valid_length && is_printable).then(|| Self(blake3::derive_key(CONTEXT, bytes)))
     }
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Writes the same four bytes, as `Key(01234567)`.
+/// Writes the first four bytes of the digest, as `Key(01234567)`.
 impl fmt::Debug for AccountKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Key({self})")
--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -4,14 +4,14 @@
 //! VM, the pool owner, collects tokens that other VMs do not need into a pool and grants them to VMs whose shares
 //! have too few.
 //!
-//! Tokens come from the refill of the shares only; collections and grants move them from one bucket to another.
-//! Hence the tokens used in any window are at most those of the rate and the capacity of all buckets and pools.
-//! This holds whichever VM owns the pool, if several VMs do at once, and if messages are lost, delayed or
-//! duplicated: a lost message can only lose tokens.
+//! Tokens come from the refill of the shares only; collections and grants move them from one bucket to another. Hence
+//! the tokens used in any window are at most those that the rate yields in it plus the capacity of all buckets and
+//! pools. This bound holds whichever VM owns the pool, even if several VMs own one at the same time, and even if
+//! messages are lost, delayed or duplicated: a lost message can only lose tokens.
 //!
 //! * An account for which the VMs' own shares suffice causes no messages, and an idle account costs nothing.
 //! * A VM that can't reach a pool owner still has its own share.
-//! * The bucket of a new process is empty, so that a restart does not allow the tokens of a window twice.
+//! * The bucket of a new process is empty, so that a restart does not allow the tokens of one window to be used twice.
 //! * A request that did not run gives its tokens back. A request that is retried is charged once.
 
 pub mod bucket;
@@ -35,26 +35,27 @@
 use crate::settings::Tuning;
 
 /// Capacity of a pool, as a fraction of an account's total capacity. The total is divided among two pools and the
-/// shares of all VMs, since there are two pools while VMs disagree on which one is the pool owner.
+/// shares of all VMs, since there are two pools while VMs disagree on which VM is the pool owner.
 const POOL_FRACTION: f64 = 0.25;
 
-/// The least total capacity of an account, as a fraction of its burst. It applies where the tolerance that the tuning
-/// parameters give is smaller.
-const MIN_CAPACITY: f64 = 0.5;
+/// The least total capacity of an account's buckets and pools, as a fraction of the account's burst. This capacity
+/// applies if the tolerance that results from the tuning parameters is smaller.
+const MIN_CAPACITY_FRACTION: f64 = 0.5;
 
 /// The fraction of an account's rate that is distributed. The rest is a margin for tokens that are in transit
 /// between two VMs and therefore count in no bucket.
 const DISTRIBUTED_RATE: f64 = 0.98;
 
 /// The time after its start for which a VM's shares are not refilled, if the key-value service has no entry of an
-/// earlier process of the VM. The entries of other VMs may be missing too, and with too few known VMs its shares of
-/// the rates would be too large.
+/// earlier process of the VM. The entries of other VMs may be missing too, and with too few known VMs the VM's shares
+/// of the rates would be too large.
 const STARTUP_DELAY: Span = Span::from_secs(1);
 
 /// How long a computed number of VMs is used before it is computed again.
 const VM_COUNT_MAX_AGE: Span = Span::from_millis(500);
 
-/// A VM's request for tokens from the pool, sent to the pool owner when its own share has too few for a request.
+/// A VM's request for tokens from the pool, sent to the pool owner when the VM's own share has too few for a caller's
+/// request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRequest {
     /// The account.
@@ -63,12 +64,14 @@
     pub number: u64,
     /// The number of tokens that a caller's request costs.
     pub tokens: Tokens,
-    /// Limit on further tokens that may be granted for later requests: the free capacity of the sender's share.
+    /// Limit on the tokens that may be granted in addition, for later requests: the free capacity of the sender's
+    /// share.
     pub max_extra: Tokens,
 }
 
 impl TokenRequest {
-    /// Makes the answer: the requested tokens and this many more, or the time after which to retry.
+    /// Makes the grant that answers this token request: `Ok` with the number of tokens granted in addition to the
+    /// requested ones, or `Err` with the time after which to retry.
     fn answer(&self, answer: Result<Tokens, Span>) -> TokenGrant {
         TokenGrant {
             account: self.account.clone(),
@@ -85,7 +88,8 @@
     pub account: Tenant,
     /// The number of the token request.
     pub number: u64,
-    /// The requested tokens are granted, and this many more; or the time after which there may be enough.
+    /// `Ok` if the requested tokens are granted, with the number of tokens granted in addition; `Err` with the time
+    /// after which there may be enough tokens.
     pub answer: Result<Tokens, Span>,
 }
 
@@ -98,9 +102,9 @@
     tokens: Tokens,
     /// The VM that was asked as the pool owner.
     owner: Vm,
-    /// The time until which its answer is waited for.
+    /// The time at which the wait for the pool owner's answer ends.
     deadline: Instant,
-    /// The number of VMs that were asked so far.
+    /// The number of VMs that have been asked for the tokens.
     attempts: u32,
 }
 
@@ -115,8 +119,8 @@
     pending: BTreeMap<u64, PendingRequest>,
     /// The arrival time of the account's last request at this VM.
     last_used: Instant,
-    /// The time until which requests for which the bucket has too few tokens are refused without asking the pool owner,
-    /// and the time from which their callers may retry.
+    /// Set when the pool owner refuses a token request: the time until which requests for which the bucket has too few
+    /// tokens are refused without asking the pool owner, and the time from which their callers may retry.
     exhausted: (Instant, Instant),
     /// The time of the last log line on the account's limit.
     logged: Instant,
@@ -127,9 +131,9 @@
 pub(crate) struct State {
     /// The shares by account, for the accounts that have a limit.
     shares: BTreeMap<Tenant, Share>,
-    /// The pools of all accounts.
+    /// The pools of all accounts, used if this VM is a pool owner.
     pools: Pools,
-    /// VMs that did not answer as the pool owner, and are not asked for some time.
+    /// VMs that did not answer token requests, and are not used as the pool owner for some time.
     excluded: exclusion::Exclusions,
     /// The number of VMs, and the time at which it was computed.
     vm_count: Option<(usize, Instant)>,
@@ -157,14 +161,15 @@
         let burst = limit.burst.as_f64();
         let window = limit.rate.as_f64() * seconds + burst;
         let tolerance = window * tuning.quota_overage + tuning.quota_slack;
-        let capacity = tolerance.max(burst * MIN_CAPACITY);
+        let capacity = tolerance.max(burst * MIN_CAPACITY_FRACTION);
         Self {
             rate: (window + tolerance - capacity) / seconds * DISTRIBUTED_RATE,
             capacity,
         }
     }
 
-    /// The terms of a pool. Its bucket is not refilled; the rate serves to estimate when there will be tokens.
+    /// Returns the terms of a pool. A pool's bucket is not refilled at a rate; the rate in the terms serves to estimate
+    /// when there will be enough tokens.
     fn pool(self) -> Terms {
         Terms {
             rate: self.rate,
@@ -172,7 +177,7 @@
         }
     }
 
-    /// The terms of the share of one of `vms` VMs.
+    /// Returns the terms of one VM's share if `vms` VMs share the limit.
     #[allow(clippy::cast_precision_loss)]
     fn share(self, vms: usize) -> Terms {
         let vms = vms as f64;
@@ -184,18 +189,18 @@
 }
 
 impl Gateway {
-    /// Notes the start time of the process.
+    /// Records the start time of the process.
     pub(crate) fn start_quota(&mut self) {
         self.quota.started = self.now;
     }
 
-    /// Notes that the key-value service has an entry of an earlier process of this VM.
+    /// Records that the key-value service has an entry of an earlier process of this VM.
     pub(crate) fn quota_restarted(&mut self) {
         self.quota.restarted = true;
     }
 
-    /// Applies the limits of a new configuration. New accounts get an empty share, others keep the tokens that
-    /// still fit. Requests of accounts without a limit in it go on uncharged.
+    /// Applies the limits of a new configuration. New accounts get an empty share; the shares of other accounts keep
+    /// the tokens that still fit. Waiting requests of accounts that no longer have a limit proceed without a charge.
     pub(crate) fn apply_account_limits(&mut self, out: &mut Effects) {
         let limits: BTreeMap<Tenant, TokenLimit> = self.limits_by_account().collect();
         let mut shares = std::mem::take(&mut self.quota.shares);
@@ -214,7 +219,8 @@
             Some(Allowance::new(*limit, tuning).pool())
         };
         self.quota.pools.apply_limits(terms);
-        // The list that brought the configuration may also bring entries of VMs, which are applied after it.
+        // The list of entries with the configuration may also have entries of VMs, which are applied after the
+        // configuration; the number of VMs is therefore computed again.
         self.quota.vm_count = None;
         let unlimited = shares.into_values().flat_map(|share| share.pending);
         let unlimited: Vec<RequestId> = unlimited.map(|(_, pending)| pending.request).collect();
@@ -223,14 +229,14 @@
         }
     }
 
-    /// The accounts with a limit in the configuration in force.
+    /// Returns the accounts that have a limit in the configuration in force.
     fn limits_by_account(&self) -> impl Iterator<Item = (Tenant, TokenLimit)> {
         let accounts = self.config.iter().flat_map(|c| c.accounts.iter().flatten());
         accounts.filter_map(|account| Some((account.name.clone(), account.limit?)))
     }
 
-    /// The number of VMs that share the rates: those that are present, and those that were until recently, since
-    /// they may only be cut off and still use their shares.
+    /// Returns the number of VMs that share the rates: the VMs that are present or were until recently, since a VM that
+    /// disappeared may only be partitioned from this one and still use its share.
     fn vm_count(&mut self) -> usize {
         match self.quota.vm_count {
             Some((vms, computed)) if self.now.since(computed) < VM_COUNT_MAX_AGE => vms,
@@ -242,7 +248,7 @@
         }
     }
 
-    /// The terms of this VM's share of a limit. Its rate is zero during the startup delay.
+    /// Returns the terms of this VM's share of a limit. The rate is zero during the startup delay.
     fn share_terms(&mut self, limit: TokenLimit) -> Terms {
         let vms = self.vm_count();
         let terms = Allowance::new(limit, &self.settings.tuning).share(vms);
@@ -253,7 +259,8 @@
         }
     }
 
-    /// This VM's share of an account, refilled up to now, with its terms. `None` if the account has no limit.
+    /// Refills this VM's share of an account up to the present time and returns it with its terms. Returns `None` if
+    /// the account has no limit.
     fn share(&mut self, account: &Tenant) -> Option<(&mut Share, Terms)> {
         let limit = self.quota.shares.get(account)?.limit;
         let terms = self.share_terms(limit);
@@ -262,8 +269,8 @@
         Some((share, terms))
     }
 
-    /// Handles the quota timer: refuses token requests that waited in the pool for too long, collects tokens if that is
-    /// due, and retries this VM's token requests whose answer is overdue.
+    /// Handles the quota timer: refuses token requests that waited in the pool for too long, collects tokens if a
+    /// collection is due, and retries this VM's token requests whose answer is overdue.
     pub(crate) fn handle_quota_timer(&mut self, out: &mut Effects) {
         let now = self.now;
         let mut answers = Vec::new();
--- a/crates/gateway/src/account/quota/bucket.rs
+++ b/crates/gateway/src/account/quota/bucket.rs
@@ -1,10 +1,11 @@
-//! Token bucket: tokens are added at a rate up to a capacity and taken by requests.
+//! A token bucket: tokens are added at a rate up to a capacity, and requests take them.
 
 use dahliastile_core::time::{Instant, Span};
 
 use crate::account::Tokens;
 
-/// The rate and capacity of a bucket. They are passed to each operation, since they change with the number of VMs.
+/// The rate and capacity of a bucket. Both change with the number of VMs, so each operation that needs them takes them
+/// as an argument.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// Tokens added per second.
@@ -13,8 +14,8 @@
     pub most: f64,
 }
 
-/// A token bucket. It starts empty, since a process that starts with a full bucket would ignore what the process before
-/// it has used.
+/// A token bucket. It starts empty, since a new process with a full bucket would grant tokens again that the VM's
+/// previous process has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     /// The number of tokens at `refilled`; negative while tokens are owed.
@@ -45,32 +46,32 @@
         self.balance = self.balance.min(terms.most);
     }
 
-    /// The number of tokens; negative while tokens are owed.
+    /// Returns the number of tokens; negative while tokens are owed.
     #[must_use]
     pub fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// Takes tokens if there are enough. Returns whether it did.
+    /// Takes tokens if there are enough. Returns whether they were taken.
     pub fn take(&mut self, tokens: Tokens) -> bool {
-        let enough = self.balance >= tokens.as_f64();
-        if enough {
+        let is_enough = self.balance >= tokens.as_f64();
+        if is_enough {
             self.balance -= tokens.as_f64();
         }
-        enough
+        is_enough
     }
 
-    /// Takes the whole tokens above `reserve`, but at most `most`. Returns how many it took.
-    pub fn take_above(&mut self, reserve: f64, most: Tokens) -> Tokens {
-        let taken = whole(self.balance - reserve).min(most);
+    /// Takes the whole tokens above a balance of `reserve`, but at most `max`. Returns the number of tokens taken.
+    pub fn take_above(&mut self, reserve: f64, max: Tokens) -> Tokens {
+        let taken = floor_tokens(self.balance - reserve).min(max);
         self.balance -= taken.as_f64();
         taken
     }
 
-    /// The number of whole tokens that can be added up to the capacity.
+    /// Returns the number of whole tokens that fit into the free capacity.
     #[must_use]
     pub fn free_capacity(&self, terms: Terms) -> Tokens {
-        whole(terms.most - self.balance)
+        floor_tokens(terms.most - self.balance)
     }
 
     /// Takes tokens even if there are too few, which makes the balance negative.
@@ -78,20 +79,21 @@
         self.balance -= tokens.as_f64();
     }
 
-    /// Adds tokens up to a balance of `most`. A balance above that is kept.
-    pub fn add(&mut self, tokens: Tokens, most: f64) {
-        self.balance = (self.balance + tokens.as_f64()).min(most.max(self.balance));
+    /// Adds tokens up to a balance of `max_balance`. A balance that is already higher is kept.
+    pub fn add(&mut self, tokens: Tokens, max_balance: f64) {
+        self.balance = (self.balance + tokens.as_f64()).min(max_balance.max(self.balance));
     }
 }
 
 /// Rounds down to whole tokens; negative numbers become 0.
-// The number is not negative, and no larger than a limit of the configuration.
+// The converted number is not negative, and no larger than a limit of the configuration.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn whole(tokens: f64) -> Tokens {
+fn floor_tokens(tokens: f64) -> Tokens {
     Tokens(tokens.max(0.0) as u64)
 }
 
-/// The time in which `tokens` tokens are added at `rate` tokens per second; the longest possible span for a rate of 0.
+/// Returns the time in which `tokens` tokens are added at `rate` tokens per second; the longest possible span for a
+/// rate of 0.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn wait(tokens: f64, rate: f64) -> Span {
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -1,4 +1,5 @@
-//! Charges requests to their accounts: from this VM's share, or with tokens from the pool owner if that has too few.
+//! Charges requests to their accounts: from this VM's share, or with tokens from the pool owner if the share has too
+//! few.
 
 use std::cmp::Reverse;
 
@@ -26,11 +27,11 @@
 /// The number of VMs that are asked for tokens before a request is refused.
 const MAX_ATTEMPTS: u32 = 2;
 
-/// How long a VM that did not answer a token request is not asked again.
+/// How long a VM that did not answer a token request is not used as the pool owner.
 const EXCLUSION_TIME: Span = Span::from_secs(4);
 
-/// Limit on the time for which requests of an account are refused without asking the pool owner again, after it has
-/// refused one.
+/// Limit on the time for which requests of an account are refused without asking the pool owner again, after the pool
+/// owner has refused a token request.
 const EXHAUSTED_TIME: Span = Span::from_millis(100);
 
 /// The time after which a caller may retry if no pool owner answers.
@@ -41,7 +42,8 @@
 const IN_USE: Span = Span::from_millis(500);
 
 impl Gateway {
-    /// Charges a request to its account, if that has a limit, and looks for a server once it is charged.
+    /// Charges a request to its account, if the account has a limit. Looks for a server once the request is charged or
+    /// if it needs no charge.
     pub(crate) fn charge(&mut self, request: RequestId, out: &mut Effects) {
         let now = self.now;
         let Some(state) = self.in_flight.get(&request) else {
@@ -91,16 +93,17 @@
         }
     }
 
-    /// Adds unused tokens of one request to this VM's share, also where the request costs more than the share's
-    /// capacity.
+    /// Adds the unused tokens of one request to this VM's share, up to the share's capacity or the request's cost,
+    /// whichever is larger.
     fn return_tokens(&mut self, account: &Tenant, tokens: Tokens) {
         if let Some((share, terms)) = self.share(account) {
-            let most = terms.most.max(tokens.as_f64());
-            share.bucket.add(tokens, most);
+            let max_balance = terms.most.max(tokens.as_f64());
+            share.bucket.add(tokens, max_balance);
         }
     }
 
-    /// Asks the pool owner for the tokens of a request, as the `attempts`-th VM.
+    /// Asks the pool owner for the tokens of a request. `attempts` is the number of VMs asked for them, including the
+    /// one that this call asks.
     fn request_tokens(
         &mut self,
         account: &Tenant,
@@ -140,23 +143,23 @@
         }
     }
 
-    /// The pool owner, as this VM sees it. Of the VMs that are present it prefers those that schedule nothing, then the
-    /// strongest, then the first by rendezvous hashing.
+    /// Returns the pool owner, as this VM sees it: of the VMs that are present, VMs that run no scheduler come first,
+    /// then those with the highest strength, then the first by rendezvous hashing.
     fn pool_owner(&self) -> Vm {
         let now = self.now;
-        let excluded = |vm: &Vm| self.quota.excluded.contains(vm, now);
-        let schedules = |vm: &Vm| {
+        let is_excluded = |vm: &Vm| self.quota.excluded.contains(vm, now);
+        let runs_scheduler = |vm: &Vm| {
             self.scheduler_clients
                 .values()
                 .any(|client| client.holder.as_ref() == Some(vm))
         };
         let me = &self.settings.vm;
         let peers = self.peers();
-        let peers = peers.filter(|vm| !self.membership.is_down(vm) && !excluded(vm));
+        let peers = peers.filter(|vm| !self.membership.is_down(vm) && !is_excluded(vm));
         let rank = |vm: &Vm| {
             let strength = Reverse(self.strength(vm));
             (
-                schedules(vm),
+                runs_scheduler(vm),
                 strength,
                 membership::rendezvous_score(&("pool", vm.as_str())),
             )
@@ -212,8 +215,8 @@
             request, tokens, ..
         } = pending;
         match grant.answer {
-            Ok(more) => {
-                share.bucket.add(more, terms.most);
+            Ok(extra) => {
+                share.bucket.add(extra, terms.most);
                 // The caller may have left in the meantime.
                 if self.in_flight.contains_key(&request) {
                     self.admit_charged(request, out);
@@ -239,9 +242,9 @@
         self.refuse_request(request, Some(after + spread), RefusalDetail::OverLimit, out);
     }
 
-    /// Excludes the pool owners of the token requests that `has_failed` selects, and asks another VM for the
-    /// tokens; after [`MAX_ATTEMPTS`] refuses the callers' requests. Sets the timer for the deadlines of the
-    /// others.
+    /// Excludes the pool owners of the token requests that `has_failed` selects, and asks another VM for the tokens;
+    /// refuses a caller's request after [`MAX_ATTEMPTS`] VMs did not answer. Sets the timer for the deadlines of the
+    /// other token requests.
     pub(super) fn retry_token_requests(
         &mut self,
         has_failed: impl Fn(&PendingRequest) -> bool,
@@ -270,7 +273,7 @@
         }
     }
 
-    /// Excludes a VM that did not answer as the pool owner, unless that is this VM.
+    /// Excludes a VM that did not answer a token request from being the pool owner, unless it is this VM.
     fn exclude_pool_owner(&mut self, account: &Tenant, vm: &Vm, out: &mut Effects) {
         let now = self.now;
         if !self.quota.excluded.contains(vm, now) && *vm != self.settings.vm {
--- a/crates/gateway/src/account/quota/pool.rs
+++ b/crates/gateway/src/account/quota/pool.rs
@@ -1,5 +1,5 @@
-//! The token pools of a pool owner: tokens collected from VMs that do not need them, and the token requests that
-//! wait for some.
+//! The token pools of a pool owner: tokens collected from VMs that do not need them, and the token requests that wait
+//! for tokens.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,21 +13,21 @@
 /// The least time between the starts of two collections.
 const MIN_COLLECTION_INTERVAL: Span = Span::from_millis(200);
 
-/// The time between the starts of two collections per VM, where that is longer, so that the pool owner can process the
-/// answers of a large fleet.
+/// The time between the starts of two collections, divided by the number of VMs, so that the pool owner can process the
+/// answers of a large fleet. [`MIN_COLLECTION_INTERVAL`] applies where the interval would be shorter.
 const COLLECTION_INTERVAL_PER_VM: Span = Span::from_millis(1);
 
-/// The fraction of a pool's capacity below which the pool owner collects.
+/// The fraction of a pool's capacity below which the pool owner collects tokens even if no token request waits.
 const LOW_WATERMARK: f64 = 0.25;
 
-/// The fraction of a pool's capacity that is reserved: VMs get tokens of it only for the requests that wait, none for
-/// later requests.
+/// The fraction of a pool's capacity that is reserved: tokens of the reserve are granted only for requests that wait,
+/// not for later ones.
 const RESERVE: f64 = 0.5;
 
 /// The factor by which the interval between collections is longer while no token request waits.
 const IDLE_FACTOR: u64 = 2;
 
-/// How long the pool owner collects for an account after its last token request.
+/// How long the pool owner collects tokens for an account after the account's last token request.
 const IN_USE: Span = Span::from_millis(1_000);
 
 /// The time for which a token request may wait, in addition to the interval between collections: the round trip of a
@@ -61,13 +61,14 @@
     created: Instant,
     /// The time of the account's last token request.
     last_request: Instant,
-    /// Tokens that the last finished collection brought; none if no collection has finished since the pool was created
-    /// or became used again.
+    /// The number of tokens that the last finished collection yielded; none if no collection has finished since the
+    /// pool was created or was last unused for [`IN_USE`].
     last_collected: Option<f64>,
-    /// Tokens that the present collection has brought so far.
+    /// The number of tokens that the present collection has yielded.
     collected: f64,
-    /// The time up to which the account's rate is promised to callers who were told to retry.
-    promised_until: Instant,
+    /// The time up to which the tokens that the account's rate yields are reserved for callers whose requests were
+    /// refused with a retry time.
+    reserved_until: Instant,
 }
 
 /// The pools of all accounts at one VM, and its last collection.
@@ -77,9 +78,9 @@
     by_account: BTreeMap<Tenant, Pool>,
     /// The number of the last collection.
     collection: u64,
-    /// The VMs that have not answered it yet.
+    /// The VMs that have not answered the last collection.
     unanswered: BTreeSet<Vm>,
-    /// The time at which it started.
+    /// The start time of the last collection.
     collection_started: Instant,
 }
 
@@ -98,7 +99,8 @@
         });
     }
 
-    /// Handles a token request: answers it now, or queues it if the next collection may bring its tokens.
+    /// Handles a token request: answers it immediately, or queues it if the next collection may yield enough tokens for
+    /// it.
     pub(crate) fn request(
         &mut self,
         now: Instant,
@@ -119,7 +121,7 @@
                 last_request: now,
                 last_collected: None,
                 collected: 0.0,
-                promised_until: now,
+                reserved_until: now,
             });
         if now.since(pool.last_request) >= IN_USE {
             pool.last_collected = None;
@@ -134,13 +136,13 @@
                 deadline,
             });
         } else {
-            let refused = pool.refuse(now, &token_request);
-            out.push((from, refused));
+            let refusal = pool.refuse(now, &token_request);
+            out.push((from, refusal));
         }
         pool.serve_queue(out);
     }
 
-    /// Starts a collection with this number from the VMs `asked`. Returns the accounts to collect for.
+    /// Starts the collection `number` from the VMs `asked`. Returns the accounts whose tokens to collect.
     pub(crate) fn start_collection(
         &mut self,
         now: Instant,
@@ -159,7 +161,7 @@
         used.map(|(account, _)| account.clone()).collect()
     }
 
-    /// Whether a collection is due: one interval after the start of the last if a token request waits, or
+    /// Returns whether a collection is due: one interval after the start of the last one if a token request waits, or
     /// [`IDLE_FACTOR`] intervals if a pool in use is low.
     pub(crate) fn is_collection_due(&self, now: Instant, vms: usize) -> bool {
         let since = now.since(self.collection_started);
@@ -170,7 +172,8 @@
         due_for_low || since >= collection_interval(vms) && self.by_account.values().any(has_queue)
     }
 
-    /// The time of the next collection or of the first deadline of a token request; `None` if no token request waits.
+    /// Returns the time of the next collection or of the first deadline of a token request, whichever is earlier;
+    /// `None` if no token request waits.
     pub(crate) fn next_timer(&self, vms: usize) -> Option<Instant> {
         let first = self
             .by_account
@@ -180,8 +183,8 @@
         Some(deadline.min(self.collection_started + collection_interval(vms)))
     }
 
-    /// Adds the tokens with which a VM answers a collection. Each answer counts once, and none counts that arrives
-    /// after the next collection has started, so tokens may be lost but are never counted twice.
+    /// Adds the tokens with which a VM answers a collection. Each answer counts once, and an answer that arrives after
+    /// the next collection has started does not count, so tokens may be lost but are never counted twice.
     pub(crate) fn add_surplus(
         &mut self,
         from: &Vm,
@@ -207,14 +210,14 @@
                 let Some(queued) = pool.queue.pop_front() else {
                     break;
                 };
-                let refused = pool.refuse(now, &queued.token_request);
-                out.push((queued.from, refused));
+                let refusal = pool.refuse(now, &queued.token_request);
+                out.push((queued.from, refusal));
             }
             pool.serve_queue(out);
         }
     }
 
-    /// Drops the token requests of a VM that is gone.
+    /// Drops the queued token requests of a VM to which the connection was lost.
     pub(crate) fn remove_vm(&mut self, vm: &Vm) {
         for pool in self.by_account.values_mut() {
             pool.queue.retain(|queued| queued.from != *vm);
@@ -223,14 +226,14 @@
 }
 
 impl Pool {
-    /// Whether token requests wait or have arrived recently.
+    /// Returns whether token requests wait or one has arrived within [`IN_USE`].
     fn is_used(&self, now: Instant) -> bool {
         !self.queue.is_empty() || now.since(self.last_request) < IN_USE
     }
 
-    /// Whether the next collection may bring the tokens of a request, as far as the last one shows. The first
-    /// request of the queue may always wait, whatever its size, and every request as long as no collection has
-    /// finished.
+    /// Returns whether the next collection may yield the tokens of a request, judged by the yield of the last
+    /// collection. True for the first request of the queue, whatever its size, and for every request as long as no
+    /// collection has finished.
     fn is_worth_queueing(&self, token_request: &TokenRequest) -> bool {
         let queued = self.queue.iter().map(|q| q.token_request.tokens.as_f64());
         let wanted = queued.sum::<f64>() + token_request.tokens.as_f64();
@@ -247,7 +250,7 @@
         self.bucket.truncate(self.terms);
     }
 
-    /// Whether the pool is below the low watermark.
+    /// Returns whether the balance is below the low watermark.
     fn is_low(&self) -> bool {
         self.bucket.balance() < self.terms.most * LOW_WATERMARK
     }
@@ -265,28 +268,28 @@
                 return;
             }
             self.bucket.take_unchecked(token_request.tokens);
-            let more = self
+            let extra = self
                 .bucket
                 .take_above(self.terms.most * RESERVE, token_request.max_extra);
-            out.push((from.clone(), token_request.answer(Ok(more))));
+            out.push((from.clone(), token_request.answer(Ok(extra))));
             self.queue.pop_front();
         }
     }
 
-    /// Refuses a token request. The answer is the time until the account's rate has yielded its tokens, after those
-    /// of all requests that were refused before.
+    /// Refuses a token request. The answer is the time until the account's rate has yielded the tokens of all requests
+    /// that were refused before, and then those of this one; at most [`MAX_RETRY_AFTER`].
     fn refuse(&mut self, now: Instant, token_request: &TokenRequest) -> TokenGrant {
-        let start = self.promised_until.max(now);
+        let start = self.reserved_until.max(now);
         let end = start + wait(token_request.tokens.as_f64(), self.terms.rate);
-        self.promised_until = end.min(now + MAX_RETRY_AFTER);
+        self.reserved_until = end.min(now + MAX_RETRY_AFTER);
         token_request.answer(Err(self
-            .promised_until
+            .reserved_until
             .since(now)
             .max(MIN_COLLECTION_INTERVAL)))
     }
 }
 
-/// The interval between the starts of two collections while token requests wait, with this number of VMs.
+/// Returns the interval between the starts of two collections while token requests wait, with this number of VMs.
 pub(super) fn collection_interval(vms: usize) -> Span {
     MIN_COLLECTION_INTERVAL.max(COLLECTION_INTERVAL_PER_VM.times(vms as u64))
 }
--- a/crates/gateway/src/account/quota/pool_owner.rs
+++ b/crates/gateway/src/account/quota/pool_owner.rs
@@ -17,7 +17,7 @@
 const LOG_INTERVAL: Span = Span::from_secs(1);
 
 impl Gateway {
-    /// Handles a token request of a VM that takes this one for the pool owner.
+    /// Handles a token request of a VM that considers this VM the pool owner.
     pub(crate) fn handle_token_request(
         &mut self,
         from: &Vm,
@@ -65,8 +65,8 @@
         for vm in peers {
             self.send(&vm, Message::CollectTokens(number, accounts.clone()), out);
         }
-        let own = self.take_surplus(&accounts);
-        self.handle_surplus_tokens(&me, number, &own, out);
+        let own_surplus = self.take_surplus(&accounts);
+        self.handle_surplus_tokens(&me, number, &own_surplus, out);
     }
 
     /// Adds the tokens that a VM does not need to the pools, and grants them to waiting token requests.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -27,13 +27,13 @@
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be retried.
+    /// Returns whether a request that may have run can be retried.
     #[must_use]
     pub const fn idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Resumable)
     }
 
-    /// Whether the answer is an event stream.
+    /// Returns whether the answer is an event stream.
     #[must_use]
     pub const fn stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
@@ -62,10 +62,10 @@
     pub kind: RouteKind,
     /// The deadline of a request, counted from its arrival.
     pub timeout: Span,
-    /// The time from a request's arrival within which the first chunk of the answer is wanted.
+    /// The time within which the first chunk of the answer is wanted, counted from the request's arrival.
     pub objective: Span,
-    /// The longest pause between two chunks of a stream that does not count as late; zero where the operator gives
-    /// none.
+    /// The longest pause between two chunks of a stream after which the next chunk does not count as late; zero if the
+    /// operator sets none.
     pub pause: Span,
     /// How long callers wait for the first chunk of a stream; equal to `timeout` for other kinds.
     pub caller_timeout: Span,
@@ -109,7 +109,7 @@
     pub models: Vec<Model>,
 }
 
-/// A service that requests are sent to: either of inference engines or of plain servers.
+/// A service that requests are sent to. Its servers are either inference engines or plain servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceConfig {
     /// The name of the service.
@@ -146,7 +146,7 @@
 /// One version of the operator's configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// The version of the configuration; a higher one replaces a lower one.
+    /// The version of the configuration; a higher version replaces a lower one.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Arc<Route>>,
@@ -158,8 +158,8 @@
     pub accounts: Option<Vec<Arc<Account>>>,
 }
 
-/// Lookup tables for the routes, services and accounts of a configuration. Of the routes that match a request, the one
-/// with the longest path prefix counts.
+/// Lookup tables for the routes, services and accounts of a configuration. If several routes match a request, the route
+/// with the longest path prefix applies.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
     /// The routes by host in lower case, longest prefix first.
@@ -191,13 +191,13 @@
         }
     }
 
-    /// The client accounts by API key.
+    /// Returns the client accounts by API key.
     #[must_use]
     pub fn accounts(&self) -> &AccountIndex {
         &self.accounts
     }
 
-    /// The route of requests with this host and path.
+    /// Returns the route of requests with this host and path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = match self.hosts.get(host) {
@@ -207,13 +207,13 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceConfig>> {
         self.services.get(name)
     }
 
-    /// The services whose servers are engines.
+    /// Returns the services whose servers are engines.
     pub fn engines(&self) -> impl Iterator<Item = &Arc<ServiceConfig>> {
         self.services.values().filter(|s| s.engine.is_some())
     }
--- a/crates/gateway/src/config/startup_queue.rs
+++ b/crates/gateway/src/config/startup_queue.rs
@@ -1,9 +1,9 @@
 //! The queue of requests that arrive before this VM knows a configuration.
 //!
-//! The platform keeps sending requests to a process that restarts, and the process knows the configuration only
-//! after its first call of the key-value service, some 30 ms later. Requests are held until then, so that a restart
-//! of all VMs refuses no request that could be served. If no configuration arrives within 300 ms the held requests
-//! are refused, and later ones immediately.
+//! The platform keeps sending requests to a process that restarts, and the process knows the configuration only after
+//! its first call of the key-value service, some 30 ms later. Requests are held until then, so that a restart of all
+//! VMs refuses no request that could be served. If no configuration arrives within 300 ms, the held requests are
+//! refused, and later requests are refused on arrival.
 
 use std::collections::BTreeMap;
 
@@ -19,10 +19,10 @@
 /// How long after its start a VM holds requests while it knows no configuration.
 const MAX_HOLD: Span = Span::from_millis(300);
 
-/// The time after which callers may retry a request that was refused for want of a configuration.
+/// The time after which callers may retry a request that was refused because the VM knows no configuration.
 const RETRY_AFTER: Span = Span::from_millis(500);
 
-/// The requests that are held for a configuration.
+/// The requests that are held until a configuration is known.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// The time until which requests are held.
@@ -32,12 +32,13 @@
 }
 
 impl State {
-    /// The number of held requests.
+    /// Returns the number of held requests.
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Removes a request whose caller has left. Returns its arrival time and the request, if it was held.
+    /// Removes a request whose caller has left. Returns the arrival time and the request, or `None` if the request was
+    /// not held.
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<(Instant, CallerRequest)> {
         self.requests.remove(&request)
     }
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Admits the held requests once a configuration is known. Called after each event, so that the servers that were
-    /// listed together with the configuration are known too.
+    /// Admits the held requests once a configuration is known. Called after each event is handled: the list of entries
+    /// with the configuration also has those of the servers, so these are known by then.
     pub(crate) fn release_startup_queue(&mut self, out: &mut Effects) {
         if self.config.is_none() || self.startup_queue.requests.is_empty() {
             return;
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -12,10 +12,10 @@
 use crate::event::{Lease, RequestId};
 use crate::message::Message;
 
-/// The number of a call of the key-value service; its outcome comes back under the same number.
+/// The number of a call of the key-value service; the event with the call's outcome has the same number.
 pub type KvOperationId = u64;
 
-/// The number of an order to a server; its outcome comes back under the same number.
+/// The number of an order to a server; the event with the order's outcome has the same number.
 pub type OrderId = u64;
 
 /// Why the caller of a request gets a refusal instead of a server's answer.
@@ -30,16 +30,16 @@
     /// The request has no key of an account that this VM knows, but the VM may not know the newest configuration. No
     /// server has run the request.
     UnconfirmedKey,
-    /// The quota of its account is used up. No server has run the request.
+    /// The quota of the request's account is used up. No server has run the request.
     OverLimit,
-    /// No server could serve it in time. No server has run the request.
+    /// No server could serve the request in time, and none has run it.
     Overloaded,
-    /// Several servers have crashed, one after the other, while they ran such a request. No server has run it this
-    /// time.
+    /// Several servers have crashed, one after the other, while they ran a request with the same fingerprint. No server
+    /// has run this one.
     Quarantined,
-    /// A server may have run it, and no complete answer arrived.
+    /// A server may have run the request, and no complete answer arrived.
     Failed,
-    /// Its deadline has passed, and a server may have run it.
+    /// The request's deadline has passed, and a server may have run the request.
     TimedOut,
 }
 
@@ -71,7 +71,7 @@
     Attempt(Box<Attempt>),
     /// Forward the server's own error answer to the caller.
     ForwardFailure,
-    /// Refuse the request; the caller is told that it may retry after the span, where there is one.
+    /// Refuse the request; the caller is told that it may retry after the span, if one is given.
     Refuse(RefusalReason, Option<Span>),
     /// Abort the answer: the request's deadline has passed while its answer was being sent.
     AbortAnswer,
@@ -88,12 +88,12 @@
     pub adapter: Option<Arc<str>>,
     /// The version to load; none for the newest one.
     pub version: Option<Version>,
-    /// The number of orders that the server must have accepted since its start. With another count it rejects the
-    /// order.
+    /// The number of orders that the server must have accepted since its start; the server rejects the order if its
+    /// count differs.
     pub expected: u64,
     /// The fencing token of the scheduler that gives the order.
     pub fence: u64,
-    /// The timeout of the answer.
+    /// How long to wait for the server's answer.
     pub answer_timeout: Span,
 }
 
@@ -117,7 +117,7 @@
 }
 
 impl KvOperation {
-    /// The kind of the call, as the label of metrics.
+    /// Returns the kind of the call, used as a label of metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -142,7 +142,7 @@
 }
 
 impl Locality {
-    /// Its name, as the label of metrics.
+    /// Returns the name of the locality, used as a label of metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -165,9 +165,9 @@
     Report(Server, SocketAddr),
     /// Probe a server: open a connection to this address, to learn whether the server accepts any.
     Probe(Server, SocketAddr),
-    /// With `true`: send [`Event::NoticeReceived`](crate::event::Event::NoticeReceived) for every answer of the
-    /// server, also for answers without a notice, so that the end of a rate limit is seen. With `false`: only for
-    /// answers with one.
+    /// With `true`: send [`Event::NoticeReceived`](crate::event::Event::NoticeReceived) for every answer of the server,
+    /// also for answers without a notice, so that the end of a rate limit is seen. With `false`: send it only for
+    /// answers with a notice.
     TrackAnswers(Server, bool),
     /// Send a message to the VM at this address.
     SendMessage(SocketAddr, Locality, Message),
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -55,13 +55,13 @@
     pub host: String,
     /// The path of its URL.
     pub path: String,
-    /// How long the caller waits for the answer, where it says so.
+    /// How long the caller waits for the answer; none if the request does not say.
     pub caller_timeout: Option<Span>,
-    /// The inference that it asks for; none for a request to a plain service.
+    /// The inference that the request asks for; none for a request to a plain service.
     pub work: Option<InferenceSpec>,
     /// The API key of its account; none if the request has no key, several, or a malformed one.
     pub key: Option<AccountKey>,
-    /// The number of tokens to charge for it, where the caller gives one.
+    /// The number of tokens to charge for the request; none if the caller gives no number.
     pub tokens: Option<Tokens>,
     /// A hash of the method, host, path, query and body; equal for repetitions of the same request.
     pub fingerprint: Fingerprint,
@@ -70,11 +70,12 @@
 /// Whether a server has executed a request that it did not answer successfully.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Execution {
-    /// It has not and will not: no byte was sent, or the server says that it did not run the request.
+    /// The server has not executed the request and will not: no byte was sent, or the server says that it did not run
+    /// the request.
     No,
-    /// It may have executed all or part of it.
+    /// The server may have executed all or part of the request.
     Maybe,
-    /// It has executed it.
+    /// The server has executed the request.
     Yes,
 }
 
@@ -89,18 +90,18 @@
     Malformed,
     /// The server has no capacity for more requests.
     Full,
-    /// Another server listens at the address, or the server lacks the adapter or its version.
+    /// Another server listens at the address, or the server lacks the adapter or the requested version of it.
     Missing,
     /// The server answered with this HTTP status of its own.
     Status(u16),
-    /// This VM sends no requests to the server for the time being, and did not try.
+    /// This VM has suspended sending requests to the server, and sent none in this attempt.
     Declined,
 }
 
 /// The outcome of an order to load or unload a model or adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The server carries it out.
+    /// The server has accepted the order and carries it out.
     Accepted,
     /// The server is in the requested state already.
     Holds,
@@ -110,15 +111,16 @@
     Fenced,
     /// Another server listens at the address.
     Missing,
-    /// The server can't carry out such an order.
+    /// The server can't carry out an order of this kind.
     Invalid,
-    /// No answer: the order may have been carried out, or may be later.
+    /// No answer: the order may have been carried out, or may still be.
     Unknown,
-    /// The order certainly did not reach the server.
+    /// The order did not reach the server and never will.
     NotSent,
 }
 
-/// A server's report on its models, adapters and orders. Reports lag the server's state by some hundred milliseconds.
+/// A server's report on its models, adapters and orders. Reports lag behind the server's state by some hundred
+/// milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The resident base models with their resident adapters.
@@ -136,7 +138,7 @@
 /// The result of a probe: whether a server accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It accepted a connection.
+    /// The server accepted a connection.
     Listens,
     /// The connection was refused: nothing listens at the address.
     Refuses,
@@ -147,7 +149,7 @@
 /// The outcome of a call of the key-value service.
 #[derive(Clone, Debug)]
 pub enum KvOutcome {
-    /// All entries, and the revision at which the list began (that of its first page).
+    /// All entries, and the revision of the list's first page, from which a watch continues.
     Listed(Vec<Change>, Revision),
     /// The changes after the requested revision, and the revision to continue the watch from.
     Watched(Vec<Change>, Revision),
@@ -159,13 +161,14 @@
     Renewed(Span),
     /// The entry was written, or removed, at this revision.
     Written(Revision),
-    /// A condition of the write did not hold; the present state of the entries that the conditions name.
+    /// The write was rejected since one of its conditions did not hold; the present state of the entries that the
+    /// conditions name.
     Conflict(Vec<Change>),
     /// The lease does not exist.
     NoLease,
     /// The call was rejected, or could not be sent, and had no effect.
     Refused,
-    /// No answer: the call may have taken effect, or may later.
+    /// No answer: the call may have taken effect, or may still take effect.
     Unknown,
 }
 
@@ -176,7 +179,7 @@
     Unreachable,
     /// The connection broke.
     Broken,
-    /// The other VM did not read what was sent within the timeout: it is busy or can't be reached.
+    /// The other VM did not read the sent bytes within the timeout: the VM is busy or can't be reached.
     Late,
 }
 
@@ -189,20 +192,21 @@
     Tick,
     /// A caller's request has been read.
     RequestArrived(RequestId, Box<CallerRequest>),
-    /// The caller closed its connection before its answer was complete.
+    /// The caller closed its connection before the answer was complete.
     CallerLeft(RequestId),
     /// The first chunk of the answer has arrived from the server.
     AnswerStarted(RequestId),
-    /// The answer is complete; the longest pause between two of its chunks, zero where it is no stream.
+    /// The answer is complete. The span is the longest pause between two of its chunks, zero if the answer is no
+    /// stream.
     AnswerCompleted(RequestId, Span),
-    /// The attempt at a server failed; whether the server executed the request, and the cause.
+    /// The attempt at a server failed. Tells whether the server executed the request, and the cause.
     AttemptFailed(RequestId, Execution, FailureCause),
     /// A server answered an order, or the order's timeout has passed.
     OrderAnswered(OrderId, OrderOutcome),
     /// A server's answer carries a notice about the server (rate limit, shutdown, cooldown), or no longer carries the
-    /// one that an earlier answer did.
+    /// notice that an earlier answer carried.
     NoticeReceived(Server, Notice),
-    /// A server's report; none if it gave no valid one in time.
+    /// A server's report; none if the server gave no valid report in time.
     ReportReceived(Server, Option<Report>),
     /// The result of a probe of a server.
     Probed(Server, ProbeResult),
@@ -212,7 +216,7 @@
     PeerMessage(Vm, Message),
     /// The connection to the VM at this address could not be made, or failed.
     PeerDown(SocketAddr, LinkFault),
-    /// The settings file was read again: its tuning parameters, or why the file can't be used.
+    /// The settings file was read again: its tuning parameters, or the reason why the file can't be used.
     SettingsReloaded(Result<Box<Tuning>, String>),
     /// The process was asked to stop gracefully.
     Stop,
--- a/crates/gateway/src/feature.rs
+++ b/crates/gateway/src/feature.rs
@@ -1,6 +1,6 @@
 //! Features that can be switched off, to measure the effect of each or to disable one in an incident.
 //!
-//! No guarantee depends on a feature: they only make answers faster and adapter loads fewer.
+//! No guarantee depends on a feature: features only make answers faster and adapter loads fewer.
 
 use std::fmt;
 use std::str::FromStr;
@@ -19,7 +19,7 @@
     ExtraReplicas,
     /// Engines and plain servers in the VM's own availability zone are preferred.
     ZonePreference,
-    /// A request that by the forecast can't be served in time is refused immediately.
+    /// A request is refused immediately if, according to the scheduler's forecast, it can't be served in time.
     ForecastRefusals,
     /// Servers at which requests failed are used only if no other server is available.
     HealthRanking,
@@ -49,7 +49,7 @@
         (Self::TokenPool, "token-pool"),
     ];
 
-    /// The feature's bit in [`DisabledFeatures`].
+    /// Returns the feature's bit in [`DisabledFeatures`].
     const fn bit(self) -> u32 {
         1 << self as u32
     }
@@ -68,7 +68,7 @@
 #[error("unknown feature {0:?}; known features: {names}", names = feature_names())]
 pub struct UnknownFeature(String);
 
-/// The names of all features, separated by commas.
+/// Returns the names of all features, separated by commas.
 fn feature_names() -> String {
     let names: Vec<&str> = Feature::ALL.iter().map(|(_, name)| *name).collect();
     names.join(", ")
@@ -90,7 +90,7 @@
 pub struct DisabledFeatures(u32);
 
 impl DisabledFeatures {
-    /// Whether a feature is enabled.
+    /// Returns whether a feature is enabled.
     #[must_use]
     pub const fn uses(self, feature: Feature) -> bool {
         self.0 & feature.bit() == 0
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decision logic of one entry VM: which requests are admitted, which backend server gets each, and what becomes of
-//! failures. It relies on backend servers to say truthfully which requests they did not run.
+//! The decision logic of one entry VM: which requests are admitted, which backend server gets each, and whether a
+//! failed attempt is retried. The logic relies on backend servers to report truthfully which requests they did not run.
 //!
 //! [`Gateway`] is a pure state machine: [`Gateway::step`] takes the time, an [`Event`](event::Event) and a buffer
 //! for [`Effect`](effect::Effect)s. It does no I/O, reads no clock and has no global state, so tests run dozens of
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -23,11 +23,11 @@
     pub request: RequestId,
     /// The id that the caller gave to the request, for the log.
     pub id: Arc<str>,
-    /// The model, adapter and tokens that it asks for.
+    /// The model, adapter and tokens that the request asks for.
     pub work: InferenceSpec,
     /// Time since its arrival.
     pub waited: Span,
-    /// The time from its arrival within which the first chunk of its answer is wanted.
+    /// The time within which the first chunk of its answer is wanted, counted from its arrival.
     pub objective: Span,
     /// The time until its deadline, after which an answer is useless to the caller.
     pub left: Span,
@@ -46,7 +46,7 @@
     pub request: RequestId,
     /// The engine that it was sent to.
     pub server: Server,
-    /// The model, adapter and tokens that it asks for.
+    /// The model, adapter and tokens that the request asks for.
     pub work: InferenceSpec,
 }
 
@@ -66,7 +66,7 @@
     pub since: Revision,
     /// The batch holds all changes up to and including this revision.
     pub until: Revision,
-    /// Time since the key-value service last answered the sender, or the sender's upstream, as far as the sender knows.
+    /// Time since the key-value service last answered the sender or the sender's upstream, as far as the sender knows.
     pub age: Span,
     /// Whether the key-value service was unreachable until recently, so that entries may be missing although their
     /// owners are alive.
@@ -82,7 +82,7 @@
     AnswerStarted,
     /// The request has its final answer, or its caller has left.
     Finished,
-    /// The attempt at its server has failed; whether the server ran the request, and the cause.
+    /// The attempt at the request's server has failed. Tells whether the server ran the request, and the cause.
     Failed(Execution, FailureCause),
 }
 
@@ -96,19 +96,20 @@
     PlacementRequest(Service, PlacementRequest),
     /// To the scheduler: the state of a request has changed.
     Progress(Service, RequestId, Progress),
-    /// To a new scheduler: the sender's description of itself, its running requests and its waiting requests. They
-    /// replace all that the scheduler knew of the sender's requests.
+    /// To a new scheduler: the sender's description of itself, its running requests and its waiting requests. The two
+    /// lists replace all that the scheduler knew of the sender's requests.
     Resync(Service, Member, Vec<Running>, Vec<PlacementRequest>),
     /// From the scheduler: the engine that a request is to be sent to, and the adapter version to ask for; no version
     /// where any will do.
     Placement(Service, u64, RequestId, Server, Option<Version>),
     /// From the scheduler: a request can't be served in time, and the caller may retry after the span.
     PlacementRefused(Service, u64, RequestId, Span),
-    /// From the scheduler to one VM of each other availability zone: the resident adapters of each engine. VMs place
-    /// requests by them while no scheduler is reachable.
+    /// From the scheduler to one VM of each other availability zone: the resident adapters of each engine. VMs choose
+    /// engines by this list while no scheduler is reachable.
     ResidentAdapters(Service, u64, Vec<EngineResidents>),
-    /// To the other VMs of the sender's availability zone: the same, from the scheduler or from the VM of the zone to
-    /// which the scheduler with this fencing token sent it. So one message per zone crosses the border of a zone.
+    /// To the other VMs of the sender's availability zone: the resident adapters of each engine, sent by the scheduler
+    /// or by the VM of the zone that received [`Self::ResidentAdapters`] from the scheduler with this fencing token.
+    /// Each list therefore crosses the border of each zone only once.
     RelayedResidentAdapters(Service, u64, Vec<EngineResidents>),
     /// From the scheduler to all VMs: heartbeat.
     SchedulerHeartbeat(Service, u64),
@@ -122,9 +123,9 @@
     Subscribe(Member, Revision),
     /// To a subscriber: changes of the key-value service's entries.
     Replicate(Replication),
-    /// To the VMs that count crashes for a request's fingerprint: servers have crashed while they had these requests.
+    /// To the VMs that count crashes by request fingerprint: servers have crashed while they ran these requests.
     CrashReports(Vec<CrashReport>),
-    /// To any VM: the quarantine status of requests under which servers have crashed.
+    /// To any VM: the quarantine status, by fingerprint, of requests that servers ran when they crashed.
     QuarantineStatuses(Vec<(Fingerprint, QuarantineStatus)>),
     /// To the VM that owns the token pool: the sender's share of an account has too few tokens for a request.
     TokenRequest(TokenRequest),
@@ -135,22 +136,24 @@
     CollectTokens(u64, Vec<Tenant>),
     /// To the pool owner: the tokens that the sender does not need, in answer to the collection with this number.
     SurplusTokens(u64, Vec<(Tenant, Tokens)>),
-    /// The rate limit in requests a second that a server has announced for all VMs together; none where it has
+    /// The rate limit in requests per second that a server has announced for all VMs together; none if the server has
     /// withdrawn the limit. Sent to the VM that counts the server's requests, and from it to all VMs.
     ServerRateLimit(Server, Option<Rate>),
-    /// A server has announced that it shuts down, with the incarnation of the process that said so where it is known.
-    /// Sent to the VM that counts the server's requests, and from it to all VMs.
+    /// A server has announced that it shuts down, with the incarnation of the announcing process if it is known. Sent
+    /// to the VM that counts the server's requests, and from it to all VMs.
     ServerLeaving(Server, Option<Incarnation>),
-    /// To the scheduler: a server has rejected a request of the sender and wants nothing more of it for this long.
+    /// To the scheduler: a server has rejected a request of the sender and asks the sender to send no more requests for
+    /// this span.
     ServerCooldown(Server, Span),
     /// To the VM that counts the requests sent to a rate-limited server: asks for permission to send this request.
     SendPermitRequest(RequestId, Server),
-    /// The answer to it: the request may be sent, or the time after which to ask again.
+    /// The answer to [`Self::SendPermitRequest`]: `Ok` if the request may be sent, or the time after which to ask
+    /// again.
     SendPermitReply(RequestId, Server, Result<(), Span>),
 }
 
 impl Message {
-    /// The kind of the message, as the label of metrics.
+    /// Returns the kind of the message, used as a label of metrics.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -181,15 +184,15 @@
     }
 }
 
-/// Encodes messages for another VM. Returns `None` if one can't be encoded, which is true of no type in this module.
+/// Encodes messages for another VM. Returns `None` if a message can't be encoded; the types in this module always can.
 #[must_use]
 pub fn encode(messages: &[Message]) -> Option<Vec<u8>> {
     encode_each(messages, |_, _| {})
 }
 
-/// Encodes messages and calls `each` with every message and its encoded size in bytes.
+/// Encodes messages as [`encode`] does, and calls `each` with every message and its encoded size in bytes.
 pub fn encode_each(messages: &[Message], mut each: impl FnMut(&Message, usize)) -> Option<Vec<u8>> {
-    // The format of a sequence is its length followed by its items, so the result is that of encoding the slice.
+    // Postcard encodes a sequence as its length followed by its items, so these bytes equal those of the encoded slice.
     let mut bytes = postcard::to_stdvec(&messages.len()).ok()?;
     for message in messages {
         let before = bytes.len();
@@ -199,7 +202,8 @@
     Some(bytes)
 }
 
-/// Decodes messages of another VM. Returns `None` if the bytes come from a version of the protocol unknown here.
+/// Decodes messages of another VM. Returns `None` if the bytes are malformed, for instance because the sender uses an
+/// unknown version of the protocol.
 #[must_use]
 pub fn decode(bytes: &[u8]) -> Option<Vec<Message>> {
     postcard::from_bytes(bytes).ok()
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -9,7 +9,7 @@
 use crate::account::Tokens;
 use crate::effect::{Effect, Effects};
 
-/// Adds one to a counter of a service.
+/// Adds one to a counter, with the labels of a service and of a kind of event.
 pub(crate) fn count_for_service(
     out: &mut Effects,
     figure: Figure,
@@ -19,17 +19,17 @@
     push_sample(out, figure, 1.0, Some(service), Some(label));
 }
 
-/// Records a duration of a service, in seconds.
+/// Records a duration in seconds, with the label of a service.
 pub(crate) fn observe_seconds(out: &mut Effects, figure: Figure, service: &Service, span: Span) {
     push_sample(out, figure, span.as_secs_f64(), Some(service), None);
 }
 
-/// Adds one to a counter that has no service label.
+/// Adds one to a counter, with the label of a kind of event and none of a service.
 pub(crate) fn count_global(out: &mut Effects, figure: Figure, label: &'static str) {
     push_sample(out, figure, 1.0, None, Some(label));
 }
 
-/// Adds tokens to the counter of a client account.
+/// Adds tokens to the token counter of a client account; `label` says whether they were admitted or refused.
 pub(crate) fn count_tokens(
     out: &mut Effects,
     account: Option<&Tenant>,
@@ -45,7 +45,7 @@
     }));
 }
 
-/// Appends a sample with the labels of a service and a kind of event.
+/// Appends a sample with the labels that are given.
 fn push_sample(
     out: &mut Effects,
     figure: Figure,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -41,7 +41,7 @@
 pub struct Gateway {
     /// The VM's settings.
     pub(crate) settings: Settings,
-    /// The time of the present step, by the VM's monotonic clock.
+    /// The time of the latest step, by the VM's monotonic clock.
     pub(crate) now: Instant,
     /// The random number generator; its seed is one of the settings.
     pub(crate) rng: ChaCha8Rng,
@@ -135,34 +135,34 @@
         self.run_schedulers(out);
     }
 
-    /// Whether a scheduler ran in the last step. If so, the caller passes the duration of the step to
+    /// Returns whether a scheduler ran in the last step. If so, the caller passes the duration of the step to
     /// [`Self::record_step_duration`].
     #[must_use]
     pub fn scheduler_ran(&self) -> bool {
         self.scheduler_ran
     }
 
-    /// Records the duration of the last step in which a scheduler ran, with the execution of its effects.
-    /// Schedulers set the interval between their runs by it, so that they do not overload the VM.
+    /// Records the duration of the last step in which a scheduler ran, including the time to carry out its effects.
+    /// Schedulers derive the interval between their runs from this duration, so that they do not overload the VM.
     pub fn record_step_duration(&mut self, span: Span) {
         for scheduler in self.schedulers.values_mut() {
             scheduler.record_run_duration(span);
         }
     }
 
-    /// The time at which the next [`Event::Tick`] is due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     #[must_use]
     pub fn next_wakeup(&self) -> Instant {
         self.timers.next_at()
     }
 
-    /// Whether the VM is ready for new connections: it knows a configuration and is not stopping.
+    /// Returns whether the VM is ready for new connections: whether it knows a configuration and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.config.is_some() && !self.stopping
     }
 
-    /// Limits on callers' HTTP requests and connections.
+    /// Returns the limits on callers' HTTP requests and connections.
     #[must_use]
     pub fn limits(&self) -> HttpLimits {
         self.config
@@ -170,13 +170,13 @@
             .map_or_else(HttpLimits::default, |c| c.limits)
     }
 
-    /// The version of the configuration in force; 0 while none is known.
+    /// Returns the version of the configuration in force; 0 while none is known.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
 
-    /// The number of requests without a final answer.
+    /// Returns the number of requests without a final answer.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.in_flight.len() + self.startup_queue.len()
@@ -191,13 +191,13 @@
             .collect()
     }
 
-    /// A new number for a call of the key-value service or an order.
+    /// Returns a new number for a call of the key-value service or an order.
     pub(crate) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Sends a message to another VM, if its address is known.
+    /// Sends a message to another VM, or counts it as dropped if the VM's address is unknown.
     pub(crate) fn send(&self, to: &Vm, message: Message, out: &mut Effects) {
         match self.membership.address(to) {
             Some(address) => {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// The other entry VMs that count as present.
+    /// Returns the other entry VMs that count as present.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Vm> {
         let me = &self.settings.vm;
         self.membership
@@ -221,7 +221,7 @@
             .filter(move |vm| *vm != me)
     }
 
-    /// The first `count` VMs in the order of `rank`, among the VMs that count as present and this one.
+    /// Returns the first `count` VMs in the order of `rank`, among the VMs that count as present and this one.
     pub(crate) fn first_vms<K: Ord>(&self, count: usize, rank: impl Fn(&Vm) -> K) -> Vec<&Vm> {
         let mut vms: Vec<&Vm> = self.peers().chain([&self.settings.vm]).collect();
         vms.sort_by_cached_key(|vm| rank(vm));
@@ -229,14 +229,15 @@
         vms
     }
 
-    /// The service of a server, if the server has an entry.
+    /// Returns the service of a server, if the server has an entry in the key-value service.
     pub(crate) fn service_of(&self, server: &Server) -> Option<Service> {
         self.servers
             .get(server)
             .map(|state| state.backend.service.clone())
     }
 
-    /// The strength of a VM: its capacity for work on behalf of others. It is 0 for all VMs if the feature is disabled.
+    /// Returns the strength of a VM: its capacity for work on behalf of others, or 0 for all VMs if the feature
+    /// [`Feature::Strength`] is disabled.
     pub(crate) fn strength(&self, vm: &Vm) -> u32 {
         if !self.settings.uses(Feature::Strength) {
             return 0;
@@ -248,7 +249,7 @@
         }
     }
 
-    /// This VM's description of itself, for its entry and for other VMs.
+    /// Returns this VM's description of itself, for its entry in the key-value service and for other VMs.
     pub(crate) fn member(&self) -> Member {
         Member {
             address: self.settings.address,
@@ -421,8 +422,8 @@
         }
     }
 
-    /// Starts a graceful stop: gives up the leaderships and removes this VM's entry from the key-value service. Open
-    /// requests go on.
+    /// Starts a graceful stop: gives up the leaderships and removes this VM's entry from the key-value service.
+    /// Requests without a final answer are still served.
     fn stop(&mut self, out: &mut Effects) {
         self.stopping = true;
         Self::log(
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -12,20 +12,20 @@
 pub struct Settings {
     /// The name of the VM.
     pub vm: Vm,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: Zone,
-    /// The address at which other VMs reach it.
+    /// The address at which other VMs reach the VM.
     pub address: SocketAddr,
-    /// The incarnation of this process, which tells it from earlier processes of the same VM.
+    /// The incarnation of this process, larger than those of all earlier processes of the same VM.
     pub incarnation: Incarnation,
     /// Capacity of the VM for work that it does on behalf of others, such as scheduling: the smaller of its share of a
     /// core in hundredths and its link in Mbit/s. Both count alike, since a scheduler of the larger deployments uses 5
     /// hundredths of a core and 5 Mbit/s.
     pub strength: u32,
-    /// The seed of its random number generator.
+    /// The seed of the gateway's random number generator.
     pub seed: u64,
-    /// Addresses of some other VMs, possibly stale. They are asked while no VM is known and the key-value service does
-    /// not answer.
+    /// Addresses of some other VMs, possibly stale. The gateway asks them for the entries of the key-value service
+    /// while it knows no other VM and the service does not answer.
     pub seeds: Vec<SocketAddr>,
     /// The tuning parameters.
     pub tuning: Tuning,
@@ -34,24 +34,25 @@
 }
 
 impl Settings {
-    /// Whether a feature is enabled.
+    /// Returns whether a feature is enabled.
     #[must_use]
     pub fn uses(&self, feature: Feature) -> bool {
         self.without.uses(feature)
     }
 }
 
-/// The tuning parameters of the decisions: timeouts, intervals and limits. A reload of the settings file replaces them.
+/// The parameters of the gateway's decisions: timeouts, intervals and limits. A reload of the settings file replaces
+/// them.
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// Time to live of the lease of this VM's own entry in the key-value service. Three renewals may fail within it, so
     /// an outage of some seconds does not remove the entry.
     pub entry_lease: Span,
-    /// Interval between renewals of that lease; three fit into its time to live. The renewals are all that an idle VM
-    /// costs the key-value service.
+    /// Interval between renewals of that lease; three fit into its time to live. These renewals are the only load that
+    /// an idle VM puts on the key-value service.
     pub entry_renew: Span,
-    /// Time to live of the lease of a VM's leaderships. Twice the shortest that the key-value service grants, since one
-    /// lost renewal must not end it.
+    /// Time to live of the lease of a VM's leaderships. Twice the shortest time to live that the key-value service
+    /// grants, since one lost renewal must not end the lease.
     pub lease: Span,
     /// Interval between renewals of that lease; four fit into its time to live.
     pub renew: Span,
@@ -60,8 +61,9 @@
     pub lease_guard: Span,
     /// Whether servers reject an order with a stale fencing token.
     pub fencing: bool,
-    /// The time after which a watch of the key-value service returns without changes. Short, since only its answers
-    /// show that the service is reachable, on which other VMs rely; three VMs make at most six such calls a second.
+    /// The time after which a watch of the key-value service returns without changes. Short, since only the answers of
+    /// watches show that the service is reachable, and other VMs rely on this; the three VMs that watch make at most
+    /// six of these calls per second.
     pub watch: Span,
     /// Delay before a failed call of the key-value service is retried.
     pub store_retry: Span,
@@ -70,16 +72,17 @@
     pub lapse_grace: Span,
     /// The assumed time to load an adapter from the weight store until one has been measured.
     pub adapter_load: Span,
-    /// Timeout of an order to a server, after which it is retried: several round trips between zones. It doubles with
-    /// each retry, since a busy VM reads answers late.
+    /// Timeout of an order to a server, after which it is retried: several round trips between zones. The timeout
+    /// doubles with each retry, since a busy VM reads answers late.
     pub order_timeout: Span,
-    /// Timeout of an engine's report: shorter than the interval between two reports of an engine, and twice that of an
-    /// order, since a VM that has just won a leadership asks for the reports of all engines at once.
+    /// Timeout of an engine's report: shorter than the interval between two reports of an engine, and twice the timeout
+    /// of an order, since a VM that has just won a leadership asks for the reports of all engines at once.
     pub report_timeout: Span,
-    /// Limit on concurrent adapter loads over all engines of a service, per hundred engines. With more loads than the
-    /// weight store serves at full speed each takes longer in proportion; with a lower limit loads wait needlessly.
+    /// Limit on concurrent adapter loads over all engines of a service, per hundred engines. If there are more loads
+    /// than the weight store serves at full speed, each takes longer in proportion; with a lower limit loads wait
+    /// needlessly.
     pub loads_per_hundred: usize,
-    /// Limit on concurrent adapter loads of one server, set by the servers.
+    /// Limit on concurrent adapter loads of one server; the servers themselves have this limit.
     pub loads_per_server: usize,
     /// Limit on the requests that the scheduler has running at one engine. Below the engine's batch size, since a
     /// request that is queued at an engine can't be sent to another one.
@@ -99,7 +102,7 @@
     pub quota_window: Span,
     /// The fraction by which the tokens of a window may exceed an account's limit.
     pub quota_overage: f64,
-    /// The number of tokens by which they may exceed it in addition.
+    /// The number of tokens by which the tokens of a window may exceed an account's limit in addition to that fraction.
     pub quota_slack: f64,
     /// How long a server still accepts requests after it has announced that it shuts down.
     pub drain: Span,
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -13,15 +13,15 @@
 pub(crate) enum Timer {
     /// The deadline of a caller's request, or a timeout within it.
     Request(RequestId),
-    /// Calls for this VM's own entry in the key-value service and its lease.
+    /// Calls of the key-value service that create or renew this VM's own entry and the entry's lease.
     Registration,
-    /// Calls for leaderships and their lease, and the timeouts of their holders.
+    /// Calls of the key-value service for leaderships and their lease, and the timeouts of other holders' leaderships.
     Leadership,
     /// Watches of the key-value service, and subscriptions at other VMs.
     Watch,
     /// The end of the time for which requests are held while no configuration is known.
     StartupQueue,
-    /// Calls for the quarantine entries in the key-value service.
+    /// Calls of the key-value service for the quarantine entries.
     Quarantine,
     /// Timeouts of token requests, and collections of the token pool.
     Quota,
@@ -31,13 +31,13 @@
 
 /// The pending timers, ordered by time.
 ///
-/// Setting a timer does not cancel an earlier one of the same kind. Handlers check what is due, so a run that is too
-/// early changes nothing.
+/// Setting a timer does not cancel one that was set before for the same handler. Handlers check what is due, so a
+/// handler that runs too early changes nothing.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     /// All pending timers, the earliest first.
     heap: BinaryHeap<Reverse<(Instant, Timer)>>,
-    /// The earliest pending time of each timer that was set with `set_once`.
+    /// The earliest pending time of each timer that was set with [`Timers::set_once`].
     earliest: BTreeMap<Timer, Instant>,
 }
 
@@ -47,8 +47,8 @@
         self.heap.push(Reverse((at, timer)));
     }
 
-    /// Sets a timer, unless it is already set with this method for the same or an earlier time. For timers that are set
-    /// again in each step, so that the heap does not grow.
+    /// Sets a timer, unless it is already set with this method for the same or an earlier time. Used for timers that
+    /// are set in many steps, so that the heap does not grow with each.
     pub(crate) fn set_once(&mut self, at: Instant, timer: Timer) {
         if self.earliest.get(&timer).is_some_and(|set| *set <= at) {
             return;
@@ -57,7 +57,7 @@
         self.set(at, timer);
     }
 
-    /// The time of the earliest timer, [`Instant::NEVER`] where none is set.
+    /// Returns the time of the earliest timer, or [`Instant::NEVER`] if none is set.
     pub(crate) fn next_at(&self) -> Instant {
         self.heap
             .peek()
--- a/crates/gateway/tests/accounts.rs
+++ b/crates/gateway/tests/accounts.rs
@@ -18,7 +18,7 @@
 /// The time within which a new configuration is in force on all VMs.
 const IN_FORCE: Span = Span::from_secs(2);
 
-/// A fleet that has run for some seconds and knows two accounts without limits.
+/// Creates a fleet that has run for 4 s and knows two accounts without limits.
 fn fleet_with_accounts() -> World {
     let mut world = World::with_tuning(6, 2, 4, tuning());
     world.configure(config(2, accounts()));
@@ -34,7 +34,7 @@
 }
 
 /// Sends a request to a VM and returns its answer.
-fn outcome(world: &mut World, vm: usize, request: CallerRequest) -> Answer {
+fn send_and_wait(world: &mut World, vm: usize, request: CallerRequest) -> Answer {
     let number = world.send_request(vm, request);
     world.run(Span::from_millis(500));
     let answer = world.answer(number).cloned();
@@ -71,7 +71,7 @@
         ..request("r", "any")
     };
     for request in [without, request("r", "key-x")] {
-        let answer = outcome(&mut world, 1, request);
+        let answer = send_and_wait(&mut world, 1, request);
         assert_eq!(answer, Answer::Refused(RefusalReason::UnknownKey, None));
     }
 }
@@ -88,7 +88,7 @@
     with_west.push(account("west", &["key-w1"], 0));
     world.configure(config(3, with_west));
     world.run(IN_FORCE);
-    let stale = outcome(&mut world, 3, request("r", "key-w1"));
+    let stale = send_and_wait(&mut world, 3, request("r", "key-w1"));
     assert!(
         matches!(
             stale,
@@ -96,9 +96,17 @@
         ),
         "{stale:?}"
     );
-    assert!(served(&outcome(&mut world, 1, request("r", "key-w1"))));
+    assert!(served(&send_and_wait(
+        &mut world,
+        1,
+        request("r", "key-w1")
+    )));
     // A key that the stale VM knows is still served.
-    assert!(served(&outcome(&mut world, 3, request("r", "key-n1"))));
+    assert!(served(&send_and_wait(
+        &mut world,
+        3,
+        request("r", "key-n1")
+    )));
 }
 
 /// Requests of a public route need no key.
@@ -137,7 +145,7 @@
 fn accounts_noneconfigured() {
     let mut world = World::with_tuning(3, 2, 4, tuning());
     world.run(Span::from_secs(4));
-    assert!(served(&outcome(
+    assert!(served(&send_and_wait(
         &mut world,
         0,
         CallerRequest {
@@ -147,8 +155,8 @@
     )));
 }
 
-/// Added, moved and removed keys take effect on all VMs in time, also on a VM that can't reach the key-value
-/// service and learns of them from other VMs only.
+/// Added, moved and removed keys take effect on all VMs within [`IN_FORCE`], also on a VM that can't reach the
+/// key-value service and learns of them from other VMs only.
 #[test]
 fn keys_changeeverywhere() {
     let mut world = fleet_with_accounts();
@@ -161,10 +169,10 @@
     world.configure(config(3, moved));
     world.run(IN_FORCE);
     for vm in 0..6 {
-        let removed = outcome(&mut world, vm, request("r", "key-s1"));
+        let removed = send_and_wait(&mut world, vm, request("r", "key-s1"));
         assert!(!served(&removed), "vm{vm}");
         assert!(
-            served(&outcome(&mut world, vm, request("r", "key-s2"))),
+            served(&send_and_wait(&mut world, vm, request("r", "key-s2"))),
             "vm{vm}"
         );
         let number = world.send_request(vm, request("r", "key-n2"));
@@ -198,7 +206,7 @@
     world.run(IN_FORCE);
     for vm in 0..6 {
         assert!(
-            !served(&outcome(&mut world, vm, request("r", "key-s1"))),
+            !served(&send_and_wait(&mut world, vm, request("r", "key-s1"))),
             "vm{vm}"
         );
     }
--- a/crates/gateway/tests/configs.rs
+++ b/crates/gateway/tests/configs.rs
@@ -1,7 +1,7 @@
 //! Configurations written in quick succession during faults of VMs and of the key-value service.
 //!
 //! The requirement: a configuration is in force within two seconds on each VM that has had no fault for three seconds,
-//! provided that the key-value service has had none either.
+//! provided that the key-value service has had no fault in these three seconds either.
 
 mod support;
 
@@ -18,7 +18,7 @@
 /// The time within which a configuration is in force on a VM without faults.
 const IN_FORCE: Span = Span::from_secs(2);
 
-/// Writes the next configuration as the operator, if the key-value service is up.
+/// Writes the next configuration, as an operator does, if the key-value service is up.
 fn configure(series: &mut FaultSeries, written: &mut Vec<(Instant, u64)>) {
     if series.world.store_up {
         let version = written.last().map_or(1, |(_, version)| *version) + 1;
@@ -60,7 +60,7 @@
     }
 }
 
-/// New configurations during a minute of random faults.
+/// New configurations are in force in time during a minute of random faults.
 #[test]
 fn config_isinforceamongfaults() {
     for seed in 0..seeds(10) {
@@ -81,7 +81,7 @@
 /// The number of API keys.
 const KEYS: usize = 12;
 
-/// The account that holds each key: the number of the account, by the number of the key.
+/// The number of the account that holds each key, by the number of the key.
 type Holders = BTreeMap<usize, usize>;
 
 /// The accounts of the configurations written so far, each with the time of the write.
@@ -91,7 +91,7 @@
     format!("key{number}")
 }
 
-/// Makes three accounts with their keys.
+/// Creates three accounts with the keys that they hold.
 fn accounts_of(holders: &Holders) -> Vec<Arc<Account>> {
     let account = |account: usize| {
         let keys = holders.iter().filter(|(_, holder)| **holder == account);
@@ -124,8 +124,8 @@
     written.push((series.world.now, holders));
 }
 
-/// The holder of a key by each configuration that may be in force at a VM without faults: the last one that must be in
-/// force, and all written after it.
+/// Returns the holder of a key by each configuration that may be in force at a VM without faults: the last one that
+/// must be in force, and all written after it.
 fn holders_inforce(written: &Written, at: Instant, key: usize) -> Vec<Option<usize>> {
     let newest_due = written.iter().rposition(|(when, _)| *when + IN_FORCE <= at);
     let candidates = &written[newest_due.unwrap_or(0)..];
--- a/crates/gateway/tests/feature.rs
+++ b/crates/gateway/tests/feature.rs
@@ -30,8 +30,8 @@
     assert!(!without.uses(Feature::ExtraReplicas) && without.uses(Feature::Strength));
 }
 
-/// With each feature switched off, and with all of them off, the invariants hold and most of a light load is served
-/// under an outage of the key-value service, the crash of an engine, the crash of the scheduler's VM and a new
+/// With each feature switched off, and with all of them off, the invariants hold and at least 70 % of a light load is
+/// served during an outage of the key-value service, the crash of an engine, the crash of the scheduler's VM and a new
 /// adapter version. Engines do not check fencing tokens.
 #[test]
 fn without_anyinvariantshold() {
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -1,9 +1,9 @@
 //! The quotas of client accounts over all VMs together.
 //!
-//! The loads are those of a deployment with 16 accounts: most have a limit of 4,200 tokens a second, a few of many
-//! times that; a request costs about 2,400 tokens, and the usual usage is 1/1.8 of the limit. A small account
-//! therefore sends about one request a second over all VMs, and a VM's equal share of its tokens never suffices for
-//! one.
+//! The loads are those of a deployment with 16 accounts: most have a limit of 4,200 tokens a second, a few a limit many
+//! times as high; a request costs about 2,400 tokens, and the usual usage is 1/1.8 of the limit. A small account
+//! therefore sends about one request a second over all VMs, and a VM's equal share of the account's tokens never
+//! suffices for a request.
 //!
 //! The requirement: in any window of eight seconds the tokens used on all VMs together, also on VMs that can't
 //! reach each other, exceed the limit by at most a tenth and 17,000 tokens.
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Asserts that no window has more tokens of an account than allowed.
+    /// Asserts that no account uses more tokens in a window than allowed, and that the invariants hold.
     fn check_limits(&self) {
         for callers in &self.callers {
             let peak = peak_window_tokens(&self.world, &callers.name);
@@ -144,7 +144,8 @@
         self.world.check_invariants();
     }
 
-    /// The percentage of requests sent between two times that were refused, of the flooding accounts or of the others.
+    /// Returns the percentage of refused requests among those sent between two times, for the flooding accounts or for
+    /// the others.
     fn refused_percent(&self, flooding: bool, from: Instant, until: Instant) -> f64 {
         let counts = served_and_sent(&self.world, from, until);
         let (mut served, mut sent) = (0, 0);
@@ -179,7 +180,7 @@
         self.refused_percent(false, begin, end)
     }
 
-    /// The number of messages on tokens that VMs have sent so far.
+    /// Returns the number of messages about tokens that VMs have sent.
     fn token_messages(&self) -> u64 {
         let kinds = ["draw", "grant", "collect", "deposit"];
         let sent = kinds
@@ -188,7 +189,8 @@
         sent.sum()
     }
 
-    /// The tokens that an account used between two times, as a fraction of its rate.
+    /// Returns the tokens that an account used between two times, as a fraction of the tokens of its limit in that
+    /// time.
     fn used_fraction(&self, at: usize, from: Instant, until: Instant) -> f64 {
         let callers = &self.callers[at];
         let (served, _) = served_and_sent(&self.world, from, until)[&callers.name];
@@ -198,7 +200,7 @@
     }
 }
 
-/// The usual usage of an account with this limit, in tokens per second.
+/// Returns the usual usage of an account with this limit, in tokens per second.
 fn usage(rate: u64) -> f64 {
     f64::from(u32::try_from(rate).expect("small")) / LIMIT_TO_USAGE
 }
@@ -218,8 +220,8 @@
     }
 }
 
-/// Some accounts send many times their usual load. They get the tokens of their limits, and requests of other accounts
-/// are not refused for it.
+/// Some accounts send many times their usual load. They get the tokens of their limits, and less than 1 % of the
+/// requests of other accounts is refused.
 #[test]
 fn flood_leavesothersalone() {
     for (vms, seed) in [(6, 1), (70, 2), (300, 3)] {
@@ -240,8 +242,8 @@
     }
 }
 
-/// A third of the VMs is partitioned from all others and from the key-value service while accounts flood. Both
-/// sides keep their shares, and together they stay within the limits.
+/// A third of the VMs is partitioned from all others and from the key-value service while accounts flood. The VMs on
+/// both sides keep their shares, and together they stay within the limits.
 #[test]
 fn partition_bothsideskeepshares() {
     let mut load = Load::new(70, 5);
@@ -264,8 +266,8 @@
     assert!(refused < 10.0, "{refused} % refused");
 }
 
-/// All VMs are killed repeatedly while accounts flood. A new process must not have the tokens again that the process
-/// before it has used.
+/// All VMs are killed repeatedly while accounts flood. A new process must not get the tokens again that the VM's
+/// previous process has used.
 #[test]
 fn restarts_grantnothingtwice() {
     let mut load = Load::new(24, 6);
@@ -305,8 +307,8 @@
     assert!(refused < 10.0, "{refused} % refused");
 }
 
-/// The limit of an account is lowered to a tenth while the account floods. The lower limit holds from the time at
-/// which it is in force.
+/// The limit of an account is lowered to a tenth while the account floods. The lower limit holds in all windows that
+/// begin 2 s after the change or later.
 #[test]
 fn limit_loweredinaflood() {
     let mut load = Load::new(24, 8);
@@ -333,8 +335,8 @@
     }
 }
 
-/// Requests over the limit are refused within 400 ms, and the retry times are spread so that callers do not come
-/// back all at once.
+/// Requests over the limit are refused within 400 ms, and the retry times are spread so that less than a tenth of the
+/// callers retry within the same 100 ms.
 #[test]
 fn refusal_spreadsretries() {
     let mut load = Load::new(70, 10);
