--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -59,14 +59,14 @@
 /// VM places requests without the scheduler.
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(250);
 
-/// Shortest interval between two messages about resident adapters to the VMs. The VMs use their content while
-/// they have no scheduler.
+/// Shortest interval between two messages about resident adapters to the VMs. The VMs place requests by these
+/// messages while they have no scheduler.
 const MIN_RESIDENTS_INTERVAL: Span = Span::from_millis(1_000);
 
-/// Interval per VM between two messages about resident adapters, where that is longer than
-/// [`MIN_RESIDENTS_INTERVAL`]. A message has at most [`MAX_RESIDENTS_ROWS`] engines of about 120 bytes each, so
-/// this keeps the messages to all VMs together below 200 KB per second for any number of VMs: a sixth of the
-/// slowest network link.
+/// Interval between two messages about resident adapters, per VM that receives them; [`MIN_RESIDENTS_INTERVAL`] is
+/// used if it is longer than the product. A message has at most [`MAX_RESIDENTS_ROWS`] engines of about 120 bytes
+/// each, so this keeps the messages to all VMs together below 200 KB per second for any number of VMs: a sixth of
+/// the slowest network link.
 const RESIDENTS_INTERVAL_PER_VM: Span = Span::from_millis(40);
 
 /// Maximum number of engines in one message about resident adapters. With more engines, each message continues
@@ -104,7 +104,7 @@
     pub(crate) engine_spec: EngineSpec,
     /// When this VM became the service's scheduler.
     started_at: Instant,
-    /// Fencing token that its orders carry.
+    /// Fencing token that this scheduler's orders carry.
     fence: u64,
     pub(crate) settings: Settings,
     /// The service's engines that the key-value service lists.
@@ -167,8 +167,8 @@
             engines: BTreeMap::new(),
             requests: RequestTable::default(),
             adapters: AdapterTable::default(),
-            // An order's number is never used twice, since each later scheduler of the service has a higher
-            // fencing token.
+            // An order's number contains the fencing token. Each later scheduler of the service has a higher
+            // token, so no number is used twice.
             last_order: fence << 24,
             pending_logs: Vec::new(),
             changed: true,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Returns the fencing token that its orders carry.
+    /// Returns the fencing token that this scheduler's orders carry.
     #[must_use]
     pub fn fence(&self) -> u64 {
         self.fence
@@ -212,7 +212,7 @@
         self.started_at
     }
 
-    /// Returns whether its runs take so long that its VM is too weak to be the scheduler.
+    /// Returns whether the scheduler's runs take so long that its VM is too weak for it.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
         self.run_interval.is_overloaded()
@@ -311,7 +311,8 @@
         }
     }
 
-    /// Records that a newer version of an adapter was published. `at` is `None` if that may have been long ago.
+    /// Records that a newer version of an adapter was published at `at`; `None` if the time is unknown and may be
+    /// long past.
     pub fn update_adapter_version(
         &mut self,
         model: &Arc<str>,
@@ -476,20 +477,22 @@
             let held = engine.occupied_slots();
             if held > self.engine_spec.places && self.engine_spec.places > 0 && engine.state_known {
                 violations.push(format!(
-                    "{server} holds {held} adapters of {}",
+                    "{server} holds {held} adapters in {} slots",
                     self.engine_spec.places
                 ));
             }
             let running = self.requests.at_server(server).len();
             if running != engine.running as usize {
                 let counted = engine.running;
-                violations.push(format!("{server}: {counted} counted, {running} run"));
+                violations.push(format!(
+                    "{server}: {counted} requests counted, {running} placed"
+                ));
             }
             for (adapter, slot) in &engine.slots {
                 let running = self.requests.count_using(server, *adapter);
                 if running != slot.running {
                     violations.push(format!(
-                        "{server} {}: {} counted, {running} run",
+                        "{server} {}: {} requests counted, {running} placed",
                         self.adapters.name(*adapter).adapter,
                         slot.running
                     ));
--- a/crates/gateway/src/scheduler/adapter.rs
+++ b/crates/gateway/src/scheduler/adapter.rs
@@ -10,9 +10,9 @@
 use crate::cluster::snapshot::Version;
 
 /// How long the previous version may still be used while the newest is not loaded, from when the scheduler
-/// learns of the newest: a fifth of the five seconds within which a version must be in force. The rest is for
-/// learning of it and for queues. Without this period, versions published faster than an adapter loads would
-/// leave no time in which any version can be used.
+/// learns of the newest: a fifth of the five seconds within which requests must use a new version. The rest of the
+/// five seconds is for the new version to become known to the scheduler, and for queues. Without this period,
+/// versions published faster than an adapter loads would leave no time in which any version can be used.
 const OLD_VERSION_GRACE: Span = Span::from_millis(1_000);
 
 /// An adapter of a base model: an index into [`AdapterTable`]. Entries are never removed, so an id stays valid.
@@ -38,8 +38,8 @@
     newest: Version,
     /// The lowest version that requests may use, apart from `recent_versions`; 0 if they may use any.
     min_version: Version,
-    /// Recently published versions with their times, oldest first. Requests may use older versions until
-    /// [`OLD_VERSION_GRACE`] after that time.
+    /// Recently published versions, oldest first, each with the time at which the scheduler learnt of it. Requests
+    /// may use older versions until [`OLD_VERSION_GRACE`] after that time.
     recent_versions: VecDeque<(Version, Instant)>,
 }
 
@@ -93,7 +93,8 @@
         entry.min_version.max(last)
     }
 
-    /// Records that a version of an adapter was published at `at`; `None` if that may have been long ago.
+    /// Records that a version of an adapter was published at `at`; `None` if the time is unknown and may be
+    /// long past.
     pub(crate) fn record_version(
         &mut self,
         adapter: AdapterId,
@@ -127,7 +128,7 @@
 
     /// Returns the decayed number of requests for an adapter.
     pub(crate) fn demand(&self, adapter: AdapterId, now: Instant) -> f64 {
-        self.entry(adapter).demand.now(now)
+        self.entry(adapter).demand.value_at(now)
     }
 
     fn entry(&self, adapter: AdapterId) -> &AdapterEntry {
--- a/crates/gateway/src/scheduler/adapter_cache.rs
+++ b/crates/gateway/src/scheduler/adapter_cache.rs
@@ -1,8 +1,7 @@
 //! Tracks the adapters that each engine held recently. An engine keeps local copies of adapters that it
 //! unloaded; loading one of them again is about ten times as fast as a load from the weight store, and takes
-//! nothing of the weight store's bandwidth.
-//!
-//! Loading an adapter at an engine with a local copy therefore saves loads from the weight store.
+//! nothing of the weight store's bandwidth. The scheduler therefore prefers engines with a local copy, which saves
+//! loads from the weight store.
 
 use dahliastile_core::id::Server;
 use rustc_hash::FxHashMap;
@@ -111,10 +110,11 @@
         distance < self.count
     }
 
-    /// Raises the estimate after a load that was as fast as one from a local copy.
+    /// Raises the estimate by one after a load that was as fast as one from a local copy, if `distance` is at least
+    /// four fifths of the estimate.
     pub(crate) fn record_fast_load(&mut self, distance: usize) {
-        let is_near = distance + distance / 4 >= self.count;
-        self.count = (self.count + usize::from(is_near)).min(MAX_RECENT);
+        let is_near_estimate = distance + distance / 4 >= self.count;
+        self.count = (self.count + usize::from(is_near_estimate)).min(MAX_RECENT);
     }
 
     /// Lowers the estimate after a load that was slower. The load may have been slow for another reason, so the
--- a/crates/gateway/src/scheduler/admission.rs
+++ b/crates/gateway/src/scheduler/admission.rs
@@ -9,7 +9,7 @@
 use crate::feature::Feature;
 
 /// Shortest time from the placement of a request to the first chunk of its answer: prefill of a short prompt
-/// and a few steps.
+/// and a few decoding steps.
 const MIN_TIME_TO_FIRST_CHUNK: Span = Span::from_millis(150);
 
 /// Age up to which a request counts as new and may still be refused because of its objective: an eighth of the
--- a/crates/gateway/src/scheduler/capacity.rs
+++ b/crates/gateway/src/scheduler/capacity.rs
@@ -20,9 +20,9 @@
 use super::reservations::Reservations;
 use super::residency::Residency;
 
-/// Requests that a load costs of an engine's rate limit: the two orders to unload and to load, and the request
-/// that waits for the adapter.
-pub(crate) const CALLS_PER_LOAD: u32 = 3;
+/// Number of requests that a load takes from an engine's rate limit: the two orders to unload and to load, and
+/// the request that waits for the adapter.
+pub(crate) const REQUESTS_PER_LOAD: u32 = 3;
 
 /// An engine that could load an adapter.
 #[derive(Clone, Debug)]
@@ -135,7 +135,7 @@
     /// Returns whether an engine accepts orders to load adapters of a base model.
     pub(crate) fn accepts_loads(&self, now: Instant, engine: &Engine, model: &Arc<str>) -> bool {
         engine.is_usable()
-            && engine.is_within_rate_limit(CALLS_PER_LOAD, now)
+            && engine.is_within_rate_limit(REQUESTS_PER_LOAD, now)
             && !engine.cooldown.is_rejecting()
             && engine.cooldown.allows(now, &self.settings.vm)
             && !engine.deprioritized
@@ -159,13 +159,14 @@
         }
         let has_free_slot =
             engine.slots.len() < self.engine_spec.places && self.has_memory_for(engine, model);
-        let (victim, loss) = if has_free_slot {
+        let (victim, eviction_cost) = if has_free_slot {
             (None, Span::ZERO)
         } else {
-            let (victim, loss) = self.choose_victim(now, engine, reservations, residency)?;
-            (Some(victim), loss)
+            let (victim, eviction_cost) =
+                self.choose_victim(now, engine, reservations, residency)?;
+            (Some(victim), eviction_cost)
         };
-        let cost = reserved_backlog(now, engine, reservations, None, residency) + loss;
+        let cost = reserved_backlog(now, engine, reservations, None, residency) + eviction_cost;
         Some(LoadCandidate { victim, cost })
     }
 
@@ -181,28 +182,28 @@
         let slots = engine.slots.iter();
         let idle =
             slots.filter(|(adapter, slot)| slot.is_idle() && !reservations.is_reserved(**adapter));
-        let losses =
+        let costs =
             idle.map(|(adapter, _)| (*adapter, self.eviction_cost(now, *adapter, residency)));
-        losses.min_by_key(|(_, loss)| *loss)
+        costs.min_by_key(|(_, cost)| *cost)
     }
 
     /// Returns whether an engine's memory has room for one more adapter of a base model.
     fn has_memory_for(&self, engine: &Engine, model: &Arc<str>) -> bool {
         let models = &self.engine_spec.models;
-        let size = |name: &Arc<str>| models.iter().find(|m| m.name == *name);
+        let model_spec = |name: &Arc<str>| models.iter().find(|m| m.name == *name);
         let base_models: f64 = engine
             .base_models
             .iter()
-            .filter_map(size)
+            .filter_map(model_spec)
             .map(|m| m.size_mb)
             .sum();
         let adapters: f64 = engine
             .slots
             .keys()
-            .filter_map(|adapter| size(&self.adapters.name(*adapter).model))
+            .filter_map(|adapter| model_spec(&self.adapters.name(*adapter).model))
             .map(|m| m.adapter_mb)
             .sum();
-        let added = size(model).map_or(0.0, |m| m.adapter_mb);
+        let added = model_spec(model).map_or(0.0, |m| m.adapter_mb);
         base_models + adapters + added <= self.engine_spec.memory_mb
     }
 }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -37,8 +37,9 @@
     pub(crate) fence: u64,
     /// When the holder's last message came.
     last_heard: Instant,
-    /// Whether the holder was told of this VM's requests under its current fencing token. What it was sent
-    /// earlier may have arrived before it knew that it holds the leadership, so all of it is sent again.
+    /// Whether this VM has sent all of its requests to the holder under the holder's current fencing token.
+    /// Messages sent before may have arrived when the holder did not know yet that it holds the leadership, so all
+    /// requests are sent again.
     resynced: bool,
     /// Whether the holder counts as silent, so that this VM places requests itself.
     pub(crate) silent: bool,
@@ -277,9 +278,9 @@
         }
     }
 
-    /// Records the adapter of a request that the scheduler placed as resident at its server. It counts as
-    /// resident until the scheduler reports otherwise, or until as many newer adapters were placed there as the
-    /// engine has slots.
+    /// Records that the adapter of a request is resident at the server where the scheduler placed the request. The
+    /// adapter counts as resident until the scheduler reports otherwise, or until as many newer adapters were placed
+    /// there as the engine has slots.
     pub(crate) fn record_placement(
         &mut self,
         request: RequestId,
@@ -312,7 +313,7 @@
     }
 
     /// Handles a broken connection to a VM. If that VM holds a leadership, this VM places requests itself until
-    /// it hears from a holder again.
+    /// a holder's message arrives again.
     pub(crate) fn peer_down(&mut self, address: SocketAddr, fault: LinkFault, out: &mut Effects) {
         let now = self.now;
         let Some((vm, is_gone)) = self.membership.record_link_failure(address, fault, now) else {
@@ -358,8 +359,8 @@
         }
     }
 
-    /// Marks the holder of a service as silent, places the waiting requests without it, and considers this VM as a
-    /// candidate for the leadership.
+    /// Marks the holder of a service as silent, places the waiting requests without the holder, and considers this VM
+    /// as a candidate for the leadership.
     fn mark_holder_silent(&mut self, service: &Service, reason: &str, out: &mut Effects) {
         let Some(client) = self.scheduler_clients.get_mut(service) else {
             return;
@@ -379,7 +380,7 @@
         self.update_candidacies(out);
     }
 
-    /// Places the waiting requests of a service without the scheduler, as far as their adapters are resident.
+    /// Places the waiting requests of a service without the scheduler, if their adapters are resident.
     fn place_waiting_unscheduled(&mut self, service: &Service, out: &mut Effects) {
         let waiting: Vec<RequestId> = self
             .in_flight
--- a/crates/gateway/src/scheduler/dispatch.rs
+++ b/crates/gateway/src/scheduler/dispatch.rs
@@ -12,8 +12,9 @@
 use crate::event::{Execution, FailureCause};
 use crate::feature::Feature;
 
-/// Cost of an engine in another availability zone than the request's VM, as a waiting time. The traffic between
-/// zones costs about a twentieth of the value of one `plan` request, and a wait of this length costs as much.
+/// Cost of an engine in another availability zone than the request's VM, as a waiting time. The traffic of a
+/// request between zones costs about a twentieth of what the answer to one `/plan/` request is worth, and a wait of
+/// this length costs as much.
 const CROSS_ZONE_COST: Span = Span::from_millis(15);
 
 /// Cost of each request that already runs at an engine, as a waiting time: its tokens lengthen every decoding
@@ -27,11 +28,14 @@
 /// request for it: a fifth of the usual load time.
 const EXTRA_LOAD_TIME: Span = Span::from_millis(50);
 
-/// Change of the estimated load time after a load that was not complete when expected, and after one that was,
-/// with [`REFERENCE_LOADS`] concurrent loads. With these two steps, one load in nine completes later than
-/// expected, which costs a rejected request and 50 ms. Concurrent loads are slow or fast together, so the steps
-/// are smaller with more of them.
+/// Increase of the estimated load time after a load that was not complete when expected, with
+/// [`REFERENCE_LOADS`] concurrent loads. With this step and [`LOAD_TIME_DECREASE`], one load in nine completes
+/// later than expected, which costs a rejected request and 50 ms. Concurrent loads are slow or fast together, so
+/// both steps are smaller with more of them.
 const LOAD_TIME_INCREASE: Span = Span::from_millis(8);
+
+/// Decrease of the estimated load time after a load that was complete when expected, with [`REFERENCE_LOADS`]
+/// concurrent loads.
 const LOAD_TIME_DECREASE: Span = Span::from_millis(1);
 
 /// Number of concurrent loads at the deployments for which the two steps were chosen.
@@ -80,13 +84,13 @@
         request: &ScheduledRequest,
         residency: &Residency,
     ) -> Option<(Server, Span)> {
-        let zones = self.settings.uses(Feature::ZonePreference);
+        let prefers_own_zone = self.settings.uses(Feature::ZonePreference);
         let cost_at = |server: &Server, engine: &Engine| {
             let is_open = engine.is_usable()
                 && engine.is_within_rate_limit(1, now)
                 && engine.cooldown.allows(now, vm);
             let is_eligible = is_open && !request.failed.contains(server);
-            is_eligible.then(|| cost(engine, request, now, zones))
+            is_eligible.then(|| cost(engine, request, now, prefers_own_zone))
         };
         let ready = |adapter| residency.ready_servers(adapter).iter();
         let holding = request.adapter.into_iter().flat_map(ready);
@@ -127,7 +131,7 @@
         let version = version.filter(|version| *version > 0);
         self.occupy(&request, server);
         if let Some(engine) = self.engines.get_mut(server) {
-            engine.count_call(now);
+            engine.count_against_rate_limit(now);
             engine.cooldown.record_dispatch(now);
             engine.add_prefill(now, request.prefill_tokens);
             let waited = now.since(request.arrived);
@@ -242,8 +246,8 @@
         self.requests.remove(id);
     }
 
-    /// Removes a request that an engine failed, and updates what the failure shows of the engine and the
-    /// adapter.
+    /// Removes a request that an engine failed. Depending on the cause, updates the engine's health, or the state of
+    /// the adapter and the estimates of loads.
     pub(crate) fn record_attempt_failed(
         &mut self,
         now: Instant,
@@ -267,7 +271,7 @@
             return;
         };
         match cause {
-            // An engine in a cooldown rejects all requests, so this shows nothing about its adapters.
+            // An engine in a cooldown rejects all requests, so a rejection shows nothing about its adapters.
             FailureCause::Full if engine.cooldown.is_rejecting() => {}
             FailureCause::Missing | FailureCause::Full if execution == Execution::No => {
                 let slot = adapter.and_then(|adapter| engine.slots.get_mut(&adapter));
@@ -312,7 +316,7 @@
     }
 }
 
-/// Formats an engine's rate limit and its age for the log.
+/// Formats an engine's rate limit for the log, as `rate,age`; `-` if it has none.
 fn describe_limit(engine: &Engine, now: Instant) -> String {
     engine.rate_limiter.as_ref().map_or_else(
         || "-".to_owned(),
@@ -324,9 +328,9 @@
 }
 
 /// Returns the cost of running a request at an engine, as a waiting time.
-fn cost(engine: &Engine, request: &ScheduledRequest, now: Instant, zones: bool) -> Span {
+fn cost(engine: &Engine, request: &ScheduledRequest, now: Instant, prefers_own_zone: bool) -> Span {
     let zone_cost = match &request.zone {
-        Some(zone) if zones && *zone != engine.backend.zone => CROSS_ZONE_COST,
+        Some(zone) if prefers_own_zone && *zone != engine.backend.zone => CROSS_ZONE_COST,
         _ => Span::ZERO,
     };
     let penalty = if engine.deprioritized {
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -25,26 +25,27 @@
 const PREFILL_RATE_WEIGHT: f64 = 0.1;
 
 /// Shortest prompt, in tokens to read, from whose time to first chunk the prefill rate is measured. About 40 ms
-/// of that time are not prefill, as long as the prefill of this many tokens takes.
+/// of that time are not prefill; the prefill of this many tokens takes about the same time, and that of a shorter
+/// prompt less.
 const MIN_MEASURED_TOKENS: u32 = 500;
 
 /// Bounds of a measured prefill rate, in tokens per millisecond.
 const PREFILL_RATE_BOUNDS: (f64, f64) = (3.0, 60.0);
 
-/// Delay from the last order to the request for a report: a report shows the engine's state of some hundred
-/// milliseconds before.
+/// Delay from the last order to the request for a report, because a report shows the state that the engine had some
+/// hundred milliseconds earlier.
 pub(crate) const REPORT_LAG: Span = Span::from_millis(250);
 
 /// State of an adapter at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdapterState {
-    /// It is to be loaded; the engine has not accepted the order yet.
+    /// The adapter is to be loaded; the engine has not accepted the order yet.
     LoadPlanned,
-    /// It is being loaded, and expected to be ready at this time.
+    /// The adapter is being loaded, and expected to be ready at this time.
     Loading(Instant),
-    /// It can be used.
+    /// The adapter can be used.
     Ready,
-    /// It is to be unloaded.
+    /// The adapter is to be unloaded.
     UnloadPlanned,
 }
 
@@ -94,11 +95,11 @@
 /// Whether an engine shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Leaving {
-    /// It has not announced a shutdown.
+    /// The engine has not announced a shutdown.
     No,
-    /// It announced a shutdown at this time, and is used as long as no other engine is available.
+    /// The engine announced a shutdown at this time, and is used as long as no other engine is available.
     Draining(Instant),
-    /// It announced a shutdown at this time, and is not used.
+    /// The engine announced a shutdown at this time, and is not used.
     Excluded(Instant),
 }
 
@@ -144,7 +145,7 @@
     pub(crate) order_queue: VecDeque<Intent>,
     /// The order that has no outcome yet.
     pub(crate) pending_order: Option<PendingOrder>,
-    /// How often the current order was sent.
+    /// Number of times that the current order was sent.
     pub(crate) order_attempts: u32,
     /// When it was last sent an order or answered one.
     pub(crate) last_order_at: Instant,
@@ -193,16 +194,16 @@
     }
 
     /// Updates the engine's entry. Returns whether the entry names another incarnation than before. Entries may be
-    /// written late, so one of an earlier incarnation may follow one of a later; the engine's report shows
-    /// which of them is current.
+    /// written late, so the entry of an earlier incarnation may follow that of a later one; the engine's report
+    /// shows which incarnation is current.
     pub(crate) fn update_backend(&mut self, backend: &Arc<Backend>) -> bool {
         if backend.bases != self.backend.bases && backend.bases != self.base_models {
             self.invalidate();
         }
-        let is_other_start =
+        let is_other_incarnation =
             backend.start != self.backend.start && backend.start != self.incarnation;
         self.backend = backend.clone();
-        is_other_start
+        is_other_incarnation
     }
 
     /// Resets an engine that has restarted: it holds nothing, has accepted no orders and counts as healthy. The
@@ -244,7 +245,7 @@
     }
 
     /// Counts a request or an order against the rate limit. Returns whether the limit allowed it.
-    pub(crate) fn count_call(&mut self, now: Instant) -> bool {
+    pub(crate) fn count_against_rate_limit(&mut self, now: Instant) -> bool {
         self.rate_limiter
             .as_mut()
             .is_none_or(|rate_limiter| rate_limiter.try_take(now))
@@ -315,8 +316,8 @@
         slots.filter(from_store).count()
     }
 
-    /// Returns the number of adapters that occupy a slot. An adapter that is only planned still waits for
-    /// another one to be unloaded.
+    /// Returns the number of adapters that occupy a slot. An adapter whose load is only planned does
+    /// not, since it may still wait for another one to be unloaded.
     pub(crate) fn occupied_slots(&self) -> usize {
         let slots = self.slots.values();
         slots
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -10,7 +10,7 @@
 
 use super::Scheduler;
 use super::adapter::AdapterId;
-use super::capacity::CALLS_PER_LOAD;
+use super::capacity::REQUESTS_PER_LOAD;
 use super::engine::{Engine, Leaving};
 use super::load::SLOT_WAIT;
 use super::residency::Residency;
@@ -20,8 +20,8 @@
 /// A wait that exceeds every deadline.
 const UNBOUNDED_WAIT: Span = Span::from_secs(3_600);
 
-/// How long no adapter is loaded while all engines reject requests: until a trial request has started at one of
-/// them.
+/// Expected time without loads of adapters while all engines reject requests: until the answer to a trial request
+/// has started at one of them.
 const LOAD_PAUSE: Span = Span::from_millis(1_500);
 
 /// What a request waits for. The names of the variants are logged as `why=`.
@@ -29,13 +29,13 @@
 pub(crate) enum WaitReason {
     /// Capacity of an engine that holds its adapter, or of any engine if it names none.
     Room,
-    /// The same, while one more copy of its adapter is being loaded.
+    /// Capacity of an engine that holds its adapter, while one more copy of the adapter is being loaded.
     Copy,
     /// An adapter that is being loaded.
     Coming,
     /// A load that has not started.
     Load,
-    /// Any engine that accepts requests again.
+    /// An engine that accepts requests, because all engines reject them, shut down or reached their rate limits.
     Engine,
 }
 
@@ -104,7 +104,7 @@
     fn take_next(&mut self, reason: WaitReason) -> Span {
         self.available -= match reason {
             WaitReason::Room | WaitReason::Copy | WaitReason::Coming => 1.0,
-            WaitReason::Load | WaitReason::Engine => f64::from(CALLS_PER_LOAD),
+            WaitReason::Load | WaitReason::Engine => f64::from(REQUESTS_PER_LOAD),
         };
         wait(-self.available, self.rate)
     }
@@ -258,8 +258,8 @@
         )
     }
 
-    /// Returns the wait for a queue at `engines` engines that is shortened by one more copy of the adapter,
-    /// which serves its share once a load's time has passed.
+    /// Returns the wait for a queue at `engines` engines if one more copy of the adapter is loaded: after the load
+    /// time, the engine with the copy serves an equal share of the rest of the queue.
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
@@ -285,7 +285,7 @@
         engines.filter(|engine| !engine.deprioritized)
     }
 
-    /// Returns how long the load at this position of the queue takes, where the loads in progress count as the
+    /// Returns the time until the load at this position of the queue is complete. The loads in progress have the
     /// first positions.
     fn load_queue_wait(&self, position: usize) -> Span {
         let rounds = position.div_ceil(self.max_concurrent_loads()).max(1);
--- a/crates/gateway/src/scheduler/host.rs
+++ b/crates/gateway/src/scheduler/host.rs
@@ -1,4 +1,5 @@
-//! Passes entries, messages and outcomes to the schedulers that run on this VM.
+//! Passes entries of the key-value service, messages of other VMs, and answers of the engines to the schedulers that
+//! run on this VM.
 
 use std::sync::Arc;
 
--- a/crates/gateway/src/scheduler/load.rs
+++ b/crates/gateway/src/scheduler/load.rs
@@ -119,18 +119,18 @@
     candidates: &'a LoadCandidates,
 }
 
-/// Returns the choice of a candidate where the load takes `load`.
+/// Returns the choice of a candidate engine for a load that takes `load_time`.
 fn load_choice(
     server: &Server,
     candidate: &LoadCandidate,
     local_copy_distance: Option<usize>,
-    load: Span,
+    load_time: Span,
 ) -> LoadChoice {
     LoadChoice {
         server: server.clone(),
         victim: candidate.victim,
         local_copy_distance,
-        cost: load + candidate.cost,
+        cost: load_time + candidate.cost,
     }
 }
 
@@ -151,7 +151,7 @@
             needed.push(outdated);
         }
         let mut candidates_by_model = CandidatesByModel::default();
-        let mut free_loads = self
+        let mut remaining_loads = self
             .max_concurrent_loads()
             .saturating_sub(self.weight_store_loads());
         for needed in needed {
@@ -172,11 +172,11 @@
                 residency: &residency,
                 candidates,
             };
-            let Some(choice) = self.choose_engine(&context, &needed, free_loads > 0) else {
+            let Some(choice) = self.choose_engine(&context, &needed, remaining_loads > 0) else {
                 continue;
             };
             if needed.copy_wait.is_none_or(|wait| choice.cost < wait) {
-                free_loads -= usize::from(choice.local_copy_distance.is_none());
+                remaining_loads -= usize::from(choice.local_copy_distance.is_none());
                 self.order_load(now, needed.adapter, &choice, out);
                 for adapter in choice.victim.into_iter().chain([needed.adapter]) {
                     self.update_residency(now, adapter, &choice.server, &mut residency);
@@ -245,7 +245,7 @@
         needed
     }
 
-    /// Returns the adapters in use that engines hold only in versions whose period of grace ends soon.
+    /// Returns the adapters in use that engines hold only in older versions, which may soon not be used any more.
     fn outdated_adapters(&self, now: Instant, residency: &Residency) -> Vec<NeededLoad> {
         let is_outdated = |(_, location): &(&AdapterId, &AdapterResidency)| {
             !location.has_newest && !location.is_loading && !location.ready_servers.is_empty()
@@ -313,7 +313,7 @@
     }
 
     /// Returns the engine where loading an adapter costs least. Returns `None` if no engine can load it, or if
-    /// waiting for a slot at an engine with a local copy costs less. `from_store` is whether the weight store
+    /// waiting for a slot at an engine with a local copy costs less. `from_store` tells whether the weight store
     /// allows one more load.
     fn choose_engine(
         &self,
@@ -324,7 +324,7 @@
         let adapter = needed.adapter;
         let mut wait_cost = Span(u64::MAX);
         let mut best = self.replace_old_version(context, adapter, from_store);
-        let mut offer = |choice: LoadChoice| {
+        let mut consider = |choice: LoadChoice| {
             let sort_key = |choice: &LoadChoice| (choice.cost, choice.server.clone());
             if best
                 .as_ref()
@@ -334,9 +334,9 @@
             }
         };
         for (server, engine, distance) in self.engines_with_local_copy(context, adapter) {
-            let load = self.local_load_time();
+            let load_time = self.local_load_time();
             if let Some(candidate) = context.candidates.at(server) {
-                offer(load_choice(server, candidate, Some(distance), load));
+                consider(load_choice(server, candidate, Some(distance), load_time));
             } else {
                 let backlog = reserved_backlog(
                     context.now,
@@ -345,7 +345,7 @@
                     None,
                     context.residency,
                 );
-                wait_cost = wait_cost.min(load + backlog + SLOT_WAIT);
+                wait_cost = wait_cost.min(load_time + backlog + SLOT_WAIT);
             }
         }
         if from_store {
@@ -361,7 +361,7 @@
                 .cheapest()
                 .find(|(server, _)| has_no_copy(server));
             if let Some((server, candidate)) = cheapest {
-                offer(load_choice(
+                consider(load_choice(
                     server,
                     candidate,
                     None,
@@ -416,7 +416,7 @@
                     return None;
                 }
                 let local_copy_distance = self.local_copy_distance(engine, adapter);
-                let load = match local_copy_distance {
+                let load_time = match local_copy_distance {
                     Some(_) => self.local_load_time(),
                     None if from_store => self.load_time + WEIGHT_STORE_COST,
                     None => return None,
@@ -432,7 +432,7 @@
                     server: server.clone(),
                     victim: None,
                     local_copy_distance,
-                    cost: load + backlog,
+                    cost: load_time + backlog,
                 })
             });
         choices.min_by_key(|choice| choice.cost)
@@ -510,8 +510,7 @@
             .push_back(Intent::Load(adapter, Some(version).filter(|v| *v > 0)));
     }
 
-    /// Plans loads of base models at the engines that hold none, each time of the base model that the fewest
-    /// engines hold.
+    /// Plans loads of the base model that the fewest engines hold, at the engines that hold no base model.
     fn plan_base_loads(&mut self, now: Instant) {
         if !self.engines.values().any(Engine::needs_base_model) {
             return;
--- a/crates/gateway/src/scheduler/order.rs
+++ b/crates/gateway/src/scheduler/order.rs
@@ -26,8 +26,8 @@
 const MAX_PENDING_REPORTS: usize = 64;
 
 impl Scheduler {
-    /// Applies what changes with time alone: adapters that are expected to be ready, expired cooldowns and
-    /// reports that are due.
+    /// Marks each loading adapter as ready when its load is expected to be complete, removes expired cooldowns, and
+    /// requests the reports that are due.
     pub(crate) fn apply_elapsed_time(&mut self, now: Instant, out: &mut Vec<Decision>) {
         let mut next = Instant::NEVER;
         for engine in self.engines.values_mut() {
@@ -77,7 +77,7 @@
             let Some(engine) = self.engines.get_mut(&server) else {
                 continue;
             };
-            engine.count_call(now);
+            engine.count_against_rate_limit(now);
             engine.report_requested = Some(now);
             engine.awaits_report = true;
             out.push(Decision::QueryReport(server, engine.backend.address));
@@ -134,7 +134,7 @@
             let Some(intent) = engine.order_queue.pop_front() else {
                 continue;
             };
-            engine.count_call(now);
+            engine.count_against_rate_limit(now);
             self.last_order += 1;
             let answer_timeout = self
                 .settings
@@ -235,6 +235,7 @@
     }
 }
 
+/// Builds the order for an intent, for an engine that must have accepted `expected` orders before it.
 fn build_order(
     adapters: &AdapterTable,
     intent: &Intent,
--- a/crates/gateway/src/scheduler/popularity.rs
+++ b/crates/gateway/src/scheduler/popularity.rs
@@ -18,12 +18,12 @@
 impl Demand {
     /// Counts a request.
     pub(crate) fn add(&mut self, now: Instant) {
-        self.value = self.now(now) + 1.0;
+        self.value = self.value_at(now) + 1.0;
         self.at = now;
     }
 
     /// Returns the number as of `now`.
-    pub(crate) fn now(&self, now: Instant) -> f64 {
+    pub(crate) fn value_at(&self, now: Instant) -> f64 {
         let halves = now.since(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.value * (-halves).exp2()
     }
--- a/crates/gateway/src/scheduler/prefix_cache.rs
+++ b/crates/gateway/src/scheduler/prefix_cache.rs
@@ -3,7 +3,7 @@
 //! what they cache; the model applies the engines' own rule, least recently used first out, to the requests
 //! placed there.
 //!
-//! It saves little where few prompts share more than their first part.
+//! The cache saves little where few prompts share more than their first part.
 
 use rustc_hash::FxHashMap;
 
@@ -46,7 +46,7 @@
         clippy::cast_sign_loss
     )]
     pub(crate) fn insert_prompt(&mut self, adapter: AdapterId, parts: &[PromptPart], memory: u64) {
-        // The first part is useful as long as any part after it is cached, so it gets the latest use.
+        // A part is of use only while all parts before it are cached, so the first part gets the latest use.
         for part in parts.iter().rev() {
             self.use_count += 1;
             let entry = (part.tokens, self.use_count);
--- a/crates/gateway/src/scheduler/run.rs
+++ b/crates/gateway/src/scheduler/run.rs
@@ -15,7 +15,7 @@
     pub(crate) fn run_schedulers(&mut self, out: &mut Effects) {
         let services: Vec<Service> = self.schedulers.keys().cloned().collect();
         for service in services {
-            // Most steps find no scheduler due, so the VMs are counted only if one is.
+            // After most events no scheduler is due, so the VMs are counted only if one is.
             let Some(next_run) = self.schedulers.get(&service).map(Scheduler::next_run) else {
                 continue;
             };
--- a/crates/gateway/src/scheduler/run_interval.rs
+++ b/crates/gateway/src/scheduler/run_interval.rs
@@ -15,8 +15,8 @@
 /// quarter of the VM's time, and messages, callers and connections have the rest.
 const INTERVAL_PER_DURATION: u64 = 4;
 
-/// The same for runs so long that [`MAX_INTERVAL`] would leave no time between them: runs take half of the VM's
-/// time.
+/// Shortest time from the start of one run to the start of the next, as a multiple of a run's duration. It counts
+/// for runs so long that [`MAX_INTERVAL`] would leave no time between them: runs take half of the VM's time.
 const MIN_INTERVAL_PER_DURATION: u64 = 2;
 
 /// Longest time from the start of one run to the start of the next, unless [`MIN_INTERVAL_PER_DURATION`]
--- a/crates/gateway/src/scheduler/scheduled_request.rs
+++ b/crates/gateway/src/scheduler/scheduled_request.rs
@@ -15,16 +15,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct VmRequestId {
     pub(crate) vm: Vm,
-    /// Its number on that VM.
+    /// The request's number on that VM.
     pub(crate) request: RequestId,
 }
 
 /// The state of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum State {
-    /// It waits for a placement.
+    /// The request waits for a placement.
     Waiting,
-    /// It was placed.
+    /// The request was placed.
     Running {
         server: Server,
         /// When it was placed.
--- a/crates/gateway/src/scheduler/summary.rs
+++ b/crates/gateway/src/scheduler/summary.rs
@@ -9,11 +9,11 @@
 /// Number of waiting requests, by what they wait for.
 #[derive(Default)]
 struct Waiting {
-    /// For capacity of an engine that holds their adapter.
+    /// Requests that wait for capacity of an engine that holds their adapter.
     room: usize,
-    /// For an adapter that is being loaded.
+    /// Requests that wait for an adapter that is being loaded.
     coming: usize,
-    /// For a load that has not started, or for any engine that accepts requests.
+    /// Requests that wait for a load that has not started, or for an engine that accepts requests.
     load: usize,
 }
 
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -75,8 +75,8 @@
     world.check_invariants();
 }
 
-/// The same with one adapter whose requests need five engines while there are four: its queue must be
-/// distinguished from a short burst.
+/// Guards against requests for one adapter that wait long before they are refused. They need five engines while
+/// there are four, so the queue for the adapter must be distinguished from a short burst.
 #[test]
 fn hot_beyondtheenginesisrefusedatonce() {
     let mut world = World::new(3, 4, 1);
@@ -158,12 +158,12 @@
     };
     let numbers = world.send_requests(16, Span::ZERO, rare);
     world.run(Span::from_secs(5));
-    let begun = numbers
+    let first_chunk_times = numbers
         .iter()
         .filter_map(|number| world.time_to_first_chunk(*number));
-    let begun: Vec<Span> = begun.collect();
-    let latest = begun.iter().max().copied();
-    assert_eq!(begun.len(), numbers.len());
+    let first_chunk_times: Vec<Span> = first_chunk_times.collect();
+    let latest = first_chunk_times.iter().max().copied();
+    assert_eq!(first_chunk_times.len(), numbers.len());
     // At most two loads of 250 ms in sequence, since the weight store allows eight at once, then two prompts.
     assert!(latest < Some(Span::from_millis(850)), "{latest:?}");
     world.check_invariants();
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -43,7 +43,7 @@
     world.check_invariants();
 }
 
-/// The same while another VM takes over the leadership.
+/// Guards against orders that an engine carries out late, while another VM takes over the leadership.
 #[test]
 fn orders_latethroughtakeover() {
     let mut world = started_world();
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -337,9 +337,11 @@
     assert_eq!((fixture.placed.len(), fixture.refused), (10, 0));
 }
 
-/// The weight store of the larger reference deployment: the number of concurrent loads at full speed and the
-/// time of each. With more of them, each load takes longer in proportion.
+/// Number of concurrent loads that the weight store of the larger reference deployment serves at full speed. With
+/// more of them, each load takes longer in proportion.
 const FULL_SPEED_LOADS: u64 = 32;
+
+/// Time of a load from that weight store at full speed.
 const LOAD_TIME: Span = Span::from_millis(288);
 
 /// Guards against an estimated load time that rises with the number of concurrent loads: with the steps of the
