--- a/crates/gateway/tests/calm.rs
+++ b/crates/gateway/tests/calm.rs
@@ -4,7 +4,7 @@
 
 use dahliastile_core::time::Span;
 use dahliastile_gateway::effect::RefusalReason;
-use support::setup::{request, work};
+use support::setup::{inference_spec, request};
 use support::{Answer, World};
 
 /// Returns a fleet that has run for 2 s without load.
@@ -29,7 +29,7 @@
     let mut world = ready_world();
     let number = world.send_request(
         1,
-        request("a", "/plan/x", 5_000, Some(work("a1", 2_000, 20))),
+        request("a", "/plan/x", 5_000, Some(inference_spec("a1", 2_000, 20))),
     );
     world.run(Span::from_secs(2));
     let first = world.time_to_first_chunk(number).expect("served");
@@ -43,7 +43,7 @@
     for at in 0..10 {
         world.send_request(
             at % 3,
-            request("a", "/plan/x", 5_000, Some(work("a1", 1_000, 20))),
+            request("a", "/plan/x", 5_000, Some(inference_spec("a1", 1_000, 20))),
         );
         world.run(Span::from_millis(600));
     }
@@ -116,7 +116,12 @@
         let adapter = format!("a{}", at * 7 % 61);
         world.send_request(
             at as usize % 3,
-            request("a", "/plan/x", 5_000, Some(work(&adapter, 800, 20))),
+            request(
+                "a",
+                "/plan/x",
+                5_000,
+                Some(inference_spec(&adapter, 800, 20)),
+            ),
         );
         world.run(Span::from_millis(60));
     }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -22,7 +22,7 @@
 use dahliastile_gateway::request::fingerprint::Fingerprint;
 use rand::Rng;
 use support::series::{FaultSeries, RECOVERY_TIME, VMS, seeds};
-use support::setup::{adapter_request, request, work};
+use support::setup::{adapter_request, inference_spec, request};
 use support::{Answer, World};
 
 /// Number of arrivals at servers that the bound allows.
@@ -34,7 +34,7 @@
 fn crashing_request(world: &mut World, path: &str, at: usize) -> CallerRequest {
     // One of the adapters that the light load uses too, or one of as many others.
     let adapter = path.bytes().map(usize::from).sum::<usize>() % 24;
-    let engine_work = || work(&format!("a{adapter}"), 600, 15);
+    let engine_work = || inference_spec(&format!("a{adapter}"), 600, 15);
     let work = path.starts_with("/plan/").then(engine_work);
     let fingerprint = Fingerprint::of([path.as_bytes()]);
     world.crashing.fingerprints.insert(fingerprint);
@@ -99,7 +99,12 @@
 /// Returns one of `kinds` requests for a long answer, which are repeated; it may resume at another server.
 fn long_request(at: usize, kinds: usize, adapters: usize) -> CallerRequest {
     let (id, adapter) = (format!("l{}", at % kinds), format!("a{}", at % adapters));
-    request(&id, "/berth/x", 8_000, Some(work(&adapter, 600, 400)))
+    request(
+        &id,
+        "/berth/x",
+        8_000,
+        Some(inference_spec(&adapter, 600, 400)),
+    )
 }
 
 /// Returns the number of log lines with a code.
@@ -356,7 +361,7 @@
     let mut world = world_under_load();
     let long_request = |at: usize| {
         let id = format!("l{}", at % 6);
-        request(&id, "/berth/x", 8_000, Some(work("a1", 600, 400)))
+        request(&id, "/berth/x", 8_000, Some(inference_spec("a1", 600, 400)))
     };
     for engine in 0..6 {
         world.send_requests(12, Span::from_millis(40), long_request);
@@ -384,7 +389,7 @@
         world.store.remove(&EntryKey::Quarantine(fingerprint));
         world.wake_watchers();
         world.run(Span::from_secs(1));
-        let work = work("a3", 600, 15);
+        let work = inference_spec("a3", 600, 15);
         let repetition = |at: usize| CallerRequest {
             fingerprint,
             ..request(&format!("m{at}"), "/plan/crash", 5_000, Some(work.clone()))
@@ -522,7 +527,7 @@
     let mut world = world_under_load();
     let id = "often";
     let path = "/berth/x";
-    let long_request = |_| request(id, path, 8_000, Some(work("a1", 600, 200)));
+    let long_request = |_| request(id, path, 8_000, Some(inference_spec("a1", 600, 200)));
     for _ in 0..2 {
         world.send_requests(1, Span::from_millis(600), long_request);
         for server in world.busiest() {
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/holder.rs
@@ -10,7 +10,7 @@
 use dahliastile_gateway::cluster::snapshot::EntryKey;
 use dahliastile_gateway::settings::Tuning;
 use support::World;
-use support::setup::{ENGINES, name, request, work};
+use support::setup::{ENGINES, inference_spec, name, request};
 
 /// Returns a world of four VMs and four engines after two seconds of light load.
 fn warm_world() -> World {
@@ -49,7 +49,12 @@
     let vm = (old + 1) % 4;
     let cold = world.send_request(
         vm,
-        request("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
+        request(
+            "cold",
+            "/brief/x",
+            15_000,
+            Some(inference_spec("a77", 600, 15)),
+        ),
     );
     world.run(Span::from_secs(8));
     let first = world.time_to_first_chunk(cold).expect("served");
@@ -70,7 +75,12 @@
     let vm = (old + 1) % 4;
     let cold = world.send_request(
         vm,
-        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request(
+            "cold",
+            "/plan/x",
+            5_000,
+            Some(inference_spec("a77", 600, 15)),
+        ),
     );
     world.run(Span::from_secs(2));
     assert!(world.time_to_first_chunk(cold).expect("served") < Span::from_millis(700));
@@ -115,7 +125,12 @@
     let numbers = world.send_light_load(Span::from_secs(8));
     let cold = world.send_request(
         0,
-        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request(
+            "cold",
+            "/plan/x",
+            5_000,
+            Some(inference_spec("a77", 600, 15)),
+        ),
     );
     world.run(Span::from_secs(2));
     assert!(world.time_to_first_chunk(cold).is_some());
@@ -138,7 +153,7 @@
         let old = world.holder().expect("a holder");
         let vm = (old + 1) % 4;
         let ask = |world: &mut World, id: &str| {
-            let call = request(id, "/plan/x", 5_000, Some(work("a77", 600, 15)));
+            let call = request(id, "/plan/x", 5_000, Some(inference_spec("a77", 600, 15)));
             world.send_request(vm, call)
         };
         world.run(Span::from_millis(offset));
@@ -176,7 +191,12 @@
     let numbers = world.send_light_load(Span::from_secs(5));
     let cold = world.send_request(
         vm,
-        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request(
+            "cold",
+            "/plan/x",
+            5_000,
+            Some(inference_spec("a77", 600, 15)),
+        ),
     );
     world.run(Span::from_secs(5));
     let mine: Vec<u64> = numbers
@@ -217,7 +237,12 @@
     world.run(Span::from_millis(900));
     let cold = world.send_request(
         1,
-        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request(
+            "cold",
+            "/plan/x",
+            5_000,
+            Some(inference_spec("a77", 600, 15)),
+        ),
     );
     world.run(Span::from_secs(4));
     let first = world.time_to_first_chunk(cold).expect("served");
@@ -235,7 +260,12 @@
     let vm = (old + 1) % 4;
     let cold = world.send_request(
         vm,
-        request("cold", "/brief/x", 15_000, Some(work("a77", 600, 15))),
+        request(
+            "cold",
+            "/brief/x",
+            15_000,
+            Some(inference_spec("a77", 600, 15)),
+        ),
     );
     world.run(Span::from_secs(8));
     let first = world.time_to_first_chunk(cold).expect("served");
@@ -259,7 +289,12 @@
         world.run(Span::from_millis(6));
         let cold = world.send_request(
             1 - late,
-            request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+            request(
+                "cold",
+                "/plan/x",
+                5_000,
+                Some(inference_spec("a77", 600, 15)),
+            ),
         );
         world.run(Span::from_secs(4));
         let first = world.time_to_first_chunk(cold).expect("served");
@@ -342,7 +377,7 @@
     let mut world = warm_world();
     let vm = (world.holder().expect("a holder") + 1) % 4;
     for at in 0..6 {
-        let long = work(&format!("a{at}"), 600, 4_000);
+        let long = inference_spec(&format!("a{at}"), 600, 4_000);
         world.send_request(
             vm,
             request(&format!("l{at}"), "/brief/x", 15_000, Some(long)),
--- a/crates/gateway/tests/load.rs
+++ b/crates/gateway/tests/load.rs
@@ -5,7 +5,7 @@
 use dahliastile_core::time::Span;
 use dahliastile_gateway::event::CallerRequest;
 use support::World;
-use support::setup::{request, work};
+use support::setup::{inference_spec, request};
 
 fn total_loads(world: &World) -> u32 {
     world.servers.values().map(|(engine, _)| engine.loads).sum()
@@ -13,7 +13,7 @@
 
 /// Returns a request for the most requested adapter: 2,400 prompt tokens.
 fn hot_request(at: usize) -> CallerRequest {
-    let work = work("a1", 2_400, 20);
+    let work = inference_spec("a1", 2_400, 20);
     request(&format!("r{at}"), "/plan/x", 5_000, Some(work))
 }
 
@@ -56,7 +56,7 @@
     let mut world = World::new(3, 12, 1);
     world.run(Span::from_secs(2));
     let rare = |at| {
-        let work = work(&format!("a{at}"), 800, 20);
+        let work = inference_spec(&format!("a{at}"), 800, 20);
         request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(320, Span::from_millis(15), rare);
@@ -106,7 +106,7 @@
     }
     world.run(Span::from_secs(2));
     let rare = |at| {
-        let work = work(&format!("a{}", at * 5 % 48), 800, 20);
+        let work = inference_spec(&format!("a{}", at * 5 % 48), 800, 20);
         request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(600, Span::from_millis(40), rare);
@@ -153,7 +153,7 @@
     let mut world = World::new(3, 8, 1);
     world.run(Span::from_secs(2));
     let rare = |at| {
-        let work = work(&format!("a{at}"), 3_000, 20);
+        let work = inference_spec(&format!("a{at}"), 3_000, 20);
         request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(16, Span::ZERO, rare);
@@ -178,7 +178,7 @@
     world.run(Span::from_secs(2));
     // 6,000 tokens take 300 ms, so four engines read 13.3 prompts per second; twelve are requested.
     let long = |at| {
-        let work = work(&format!("a{at}"), 6_000, 100);
+        let work = inference_spec(&format!("a{at}"), 6_000, 100);
         request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     let numbers = world.send_requests(120, Span::from_millis(82), long);
@@ -198,7 +198,7 @@
     let mut world = World::new(3, 4, 1);
     world.run(Span::from_secs(2));
     let adapter = |at| {
-        let work = work(&format!("a{}", at % 4), 2_400, 20);
+        let work = inference_spec(&format!("a{}", at % 4), 2_400, 20);
         request(&format!("r{at}"), "/brief/x", 15_000, Some(work))
     };
     for _ in 0..12 {
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::Server;
 use dahliastile_core::time::Span;
 use support::World;
-use support::setup::{adapter_request, request, work};
+use support::setup::{adapter_request, inference_spec, request};
 
 /// Time between two requests.
 const REQUEST_INTERVAL: Span = Span::from_millis(50);
@@ -125,8 +125,10 @@
 fn version_newerisusedinfiveseconds() {
     let mut world = started_world();
     let send_and_run = |world: &mut World, id: &str| {
-        let number =
-            world.send_request(0, request(id, "/plan/x", 5_000, Some(work("a1", 600, 15))));
+        let number = world.send_request(
+            0,
+            request(id, "/plan/x", 5_000, Some(inference_spec("a1", 600, 15))),
+        );
         world.run(Span::from_millis(800));
         number
     };
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::World;
-use support::setup::{ENGINES, adapter_request, config, name, request, work};
+use support::setup::{ENGINES, adapter_request, config, inference_spec, name, request};
 
 /// Returns a world of four VMs, and four engines that don't check fencing tokens, after two seconds of light load.
 fn unfenced_world() -> World {
@@ -88,7 +88,7 @@
     let mut stopped_at = None;
     for at in 0..400_u32 {
         if at % 4 == 0 {
-            let spec = work(&format!("c{at}"), 600, 15);
+            let spec = inference_spec(&format!("c{at}"), 600, 15);
             world.send_request(
                 old,
                 request(&format!("c{at}"), "/plan/x", 5_000, Some(spec)),
@@ -134,7 +134,12 @@
         world.run(Span::from_millis(1_000));
         let cold = world.send_request(
             0,
-            request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+            request(
+                "cold",
+                "/plan/x",
+                5_000,
+                Some(inference_spec("a77", 600, 15)),
+            ),
         );
         world.run(Span::from_secs(4));
         let first = world.time_to_first_chunk(cold).expect("served");
@@ -359,7 +364,12 @@
     world.run(Span::from_millis(410));
     let cold = world.send_request(
         (old + 1) % 4,
-        request("cold", "/plan/x", 5_000, Some(work("a77", 600, 15))),
+        request(
+            "cold",
+            "/plan/x",
+            5_000,
+            Some(inference_spec("a77", 600, 15)),
+        ),
     );
     world.run(Span::from_secs(4));
     let first = world.time_to_first_chunk(cold).expect("served");
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -104,7 +104,11 @@
             &format!("l{at}"),
             "/brief/x",
             15_000,
-            Some(support::setup::work(&format!("a{at}"), 600, 1_200)),
+            Some(support::setup::inference_spec(
+                &format!("a{at}"),
+                600,
+                1_200,
+            )),
         )
     };
     world.send_requests(5, PAUSE, long);
@@ -211,7 +215,7 @@
                 &format!("l{version}"),
                 "/brief/x",
                 15_000,
-                Some(support::setup::work("a5", 600, 200)),
+                Some(support::setup::inference_spec("a5", 600, 200)),
             ),
             _ => adapter_request(&format!("v{version}-{at}"), "a5"),
         };
--- a/crates/gateway/tests/scheduler.rs
+++ b/crates/gateway/tests/scheduler.rs
@@ -13,7 +13,7 @@
 use dahliastile_gateway::message::{PlacementRequest, Progress, Running};
 use dahliastile_gateway::scheduler::{Decision, Scheduler};
 use dahliastile_gateway::settings::Tuning;
-use support::setup::{self, name, work, zone};
+use support::setup::{self, inference_spec, name, zone};
 
 /// Number of engines of the larger reference deployment.
 const ENGINES_LARGE: usize = 60;
@@ -212,7 +212,7 @@
         let placement = PlacementRequest {
             request: number as u64,
             id: Arc::from(format!("r{number}")),
-            work: work(&adapter, 600, 20),
+            work: inference_spec(&adapter, 600, 20),
             waited: Span::ZERO,
             objective: Span::from_secs(1),
             left: Span::from_secs(5),
@@ -378,7 +378,7 @@
     let running = Running {
         request: 1,
         server: name("e0"),
-        work: work("a0", 600, 20),
+        work: inference_spec("a0", 600, 20),
     };
     fixture
         .scheduler
@@ -403,7 +403,7 @@
     let running = Running {
         request: 1,
         server: name("e0"),
-        work: work("a0", 600, 20),
+        work: inference_spec("a0", 600, 20),
     };
     let vm: Vm = name("vm1");
     fixture
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -13,6 +13,6 @@
 pub mod world;
 
 pub use engine::Engine;
-pub use setup::{ENGINES, PLAIN, config, engine_config, work};
+pub use setup::{ENGINES, PLAIN, config, engine_config, inference_spec};
 pub use store::Store;
 pub use world::{Answer, World};
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -131,7 +131,7 @@
 }
 
 /// Returns what a request asks of an engine. The prompt and the output are in tokens.
-pub fn work(adapter: &str, prompt_tokens: u32, max_output_tokens: u32) -> InferenceSpec {
+pub fn inference_spec(adapter: &str, prompt_tokens: u32, max_output_tokens: u32) -> InferenceSpec {
     InferenceSpec {
         model: MODEL.into(),
         adapter: Some(adapter.into()),
@@ -143,7 +143,7 @@
 
 /// Returns a short request to an adapter, as most tests send.
 pub fn adapter_request(id: &str, adapter: &str) -> CallerRequest {
-    request(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
+    request(id, "/plan/x", 5_000, Some(inference_spec(adapter, 600, 15)))
 }
 
 /// Returns request number `at` of a mixed load: three in four requests go to one of sixty adapters in turn,
