--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -156,7 +156,7 @@
         match account {
             Some(account) => Ok(Some(account.clone())),
             None if route.public || !accounts.required => Ok(None),
-            None if self.store_answer_age() <= MAX_ANSWER_AGE => Err(RefusalReason::UnknownKey),
+            None if self.kv_answer_age() <= MAX_ANSWER_AGE => Err(RefusalReason::UnknownKey),
             None => Err(RefusalReason::UnconfirmedKey),
         }
     }
@@ -176,7 +176,7 @@
         let key = caller_request
             .key
             .map_or("none".to_owned(), |key| key.to_string());
-        let (version, age) = (self.config_version(), self.store_answer_age());
+        let (version, age) = (self.config_version(), self.kv_answer_age());
         let detail = format!(
             "id={} why={why} key={key} config={version} word_age={age}",
             caller_request.id
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -425,7 +425,7 @@
     /// Whether the key-value service is away: a watch has failed, and no renewal has been answered since. If
     /// watches alone counted, a holder whose renewals are answered but whose watches are not would keep its
     /// leadership without scheduling.
-    fn is_store_away(&self) -> bool {
+    fn is_kv_away(&self) -> bool {
         let away = self.watch.away_since;
         away.is_some_and(|since| self.leaderships.renewed_at() < since)
     }
@@ -434,7 +434,7 @@
     pub(crate) fn take_leadership(&mut self, service: Service, out: &mut Effects) {
         let purpose = Purpose::Leadership(service.clone());
         let is_writing = self.leaderships.is_writing(&service);
-        if is_writing || self.is_store_away() || self.stopping {
+        if is_writing || self.is_kv_away() || self.stopping {
             return;
         }
         // A leadership is written only while this VM's own entry exists: a VM that requests votes of all VMs
--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -88,7 +88,7 @@
     /// service soon.
     fn record_reported_answer(&mut self, at: Instant, from: &Vm, out: &mut Effects) {
         if self.watch.upstream.as_ref() == Some(from) {
-            self.record_store_answer(at, out);
+            self.record_kv_answer(at, out);
         } else if self.watch.away_since.is_some() && self.watch.op.is_none() {
             let soon = self.now + Span(self.rng.random_range(0..DIRECT_WATCH_PAUSE.0));
             if soon < self.watch.next_call {
@@ -135,7 +135,7 @@
         Replication {
             since,
             until,
-            age: self.store_answer_age(),
+            age: self.kv_answer_age(),
             recovering: self.is_recovering(),
             changes,
         }
--- a/crates/gateway/src/cluster/watch.rs
+++ b/crates/gateway/src/cluster/watch.rs
@@ -110,13 +110,13 @@
         self.watch.op = None;
         match outcome {
             KvOutcome::Listed(changes, revision) => {
-                self.record_store_answer(self.now, out);
+                self.record_kv_answer(self.now, out);
                 self.apply_list(changes, revision, out);
                 self.watch.cursor = Some(revision);
                 self.continue_watching(out);
             }
             KvOutcome::Watched(changes, revision) => {
-                self.record_store_answer(self.now, out);
+                self.record_kv_answer(self.now, out);
                 self.send_watched_changes(&changes, revision, out);
                 let is_recovering = self.is_recovering();
                 self.apply_changes(changes, Delivery::EveryChange, is_recovering, out);
@@ -133,7 +133,7 @@
                 Self::log(out, Code::StoreCompacted, "next=list".to_owned());
                 self.watch.op = Some(self.call_kv(KvOperation::List, out));
             }
-            other => self.record_store_failure(&other, out),
+            other => self.record_kv_failure(&other, out),
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Returns the time since the key-value service last answered this VM, directly or through another VM.
-    pub(crate) fn store_answer_age(&self) -> Span {
+    pub(crate) fn kv_answer_age(&self) -> Span {
         self.now.since(self.watch.answered_at)
     }
 
@@ -280,7 +280,7 @@
     }
 
     /// Records that a list or watch failed, and schedules the next call.
-    fn record_store_failure(&mut self, outcome: &KvOutcome, out: &mut Effects) {
+    fn record_kv_failure(&mut self, outcome: &KvOutcome, out: &mut Effects) {
         if self.watch.away_since.is_none() {
             self.watch.away_since = Some(self.now);
             self.watch.next_subscribe = self.now + PEER_QUERY_DELAY;
@@ -304,7 +304,7 @@
     }
 
     /// Records that the key-value service answered this VM or its upstream at a time.
-    pub(crate) fn record_store_answer(&mut self, at: Instant, out: &mut Effects) {
+    pub(crate) fn record_kv_answer(&mut self, at: Instant, out: &mut Effects) {
         self.watch.answered_at = self.watch.answered_at.max(at);
         self.watch.failures = 0;
         if let Some(since) = self.watch.away_since.take() {
