--- a/crates/gateway/src/account/quota.rs
+++ b/crates/gateway/src/account/quota.rs
@@ -25,7 +25,7 @@
 use dahliastile_core::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-use self::bucket::{Bucket, Terms};
+use self::bucket::{Bucket, Params};
 use self::pool::Pools;
 use super::{TokenLimit, Tokens};
 use crate::cluster::exclusion;
@@ -164,21 +164,21 @@
         }
     }
 
-    /// The terms of a pool. Its bucket is not refilled; the rate serves to estimate when there will be tokens.
-    fn pool(self) -> Terms {
-        Terms {
+    /// The parameters of a pool. Its bucket is not refilled; the rate serves to estimate when there will be tokens.
+    fn pool(self) -> Params {
+        Params {
             rate: self.rate,
-            most: self.capacity * POOL_FRACTION,
+            capacity: self.capacity * POOL_FRACTION,
         }
     }
 
-    /// The terms of the share of one of `vms` VMs.
+    /// The parameters of the share of one of `vms` VMs.
     #[allow(clippy::cast_precision_loss)]
-    fn share(self, vms: usize) -> Terms {
+    fn share(self, vms: usize) -> Params {
         let vms = vms as f64;
-        Terms {
+        Params {
             rate: self.rate / vms,
-            most: self.capacity * (1.0 - 2.0 * POOL_FRACTION) / vms,
+            capacity: self.capacity * (1.0 - 2.0 * POOL_FRACTION) / vms,
         }
     }
 }
@@ -200,20 +200,20 @@
         let limits: BTreeMap<Tenant, TokenLimit> = self.limits_by_account().collect();
         let mut shares = std::mem::take(&mut self.quota.shares);
         for (account, limit) in &limits {
-            let (old_share, new_terms) = (shares.remove(account), self.share_terms(*limit));
+            let (old_share, new_params) = (shares.remove(account), self.share_params(*limit));
             let mut share = old_share.unwrap_or_else(|| Share::new(*limit, self.now));
-            let old_terms = self.share_terms(share.limit);
-            share.bucket.refill(self.now, old_terms);
+            let old_params = self.share_params(share.limit);
+            share.bucket.refill(self.now, old_params);
             share.limit = *limit;
-            share.bucket.truncate(new_terms);
+            share.bucket.truncate(new_params);
             self.quota.shares.insert(account.clone(), share);
         }
         let tuning = &self.settings.tuning;
-        let terms = |account: &Tenant| {
+        let params = |account: &Tenant| {
             let limit = limits.get(account)?;
             Some(Allowance::new(*limit, tuning).pool())
         };
-        self.quota.pools.apply_limits(terms);
+        self.quota.pools.apply_limits(params);
         // The list that brought the configuration may also bring entries of VMs, which are applied after it.
         self.quota.vm_count = None;
         let unlimited = shares.into_values().flat_map(|share| share.pending);
@@ -242,24 +242,24 @@
         }
     }
 
-    /// The terms of this VM's share of a limit. Its rate is zero during the startup delay.
-    fn share_terms(&mut self, limit: TokenLimit) -> Terms {
+    /// The parameters of this VM's share of a limit. Its rate is zero during the startup delay.
+    fn share_params(&mut self, limit: TokenLimit) -> Params {
         let vms = self.vm_count();
-        let terms = Allowance::new(limit, &self.settings.tuning).share(vms);
+        let params = Allowance::new(limit, &self.settings.tuning).share(vms);
         let started = self.quota.restarted || self.now.since(self.quota.started) >= STARTUP_DELAY;
-        Terms {
-            rate: if started { terms.rate } else { 0.0 },
-            ..terms
+        Params {
+            rate: if started { params.rate } else { 0.0 },
+            ..params
         }
     }
 
-    /// This VM's share of an account, refilled up to now, with its terms. `None` if the account has no limit.
-    fn share(&mut self, account: &Tenant) -> Option<(&mut Share, Terms)> {
+    /// This VM's share of an account, refilled up to now, with its parameters. `None` if the account has no limit.
+    fn share(&mut self, account: &Tenant) -> Option<(&mut Share, Params)> {
         let limit = self.quota.shares.get(account)?.limit;
-        let terms = self.share_terms(limit);
+        let params = self.share_params(limit);
         let share = self.quota.shares.get_mut(account)?;
-        share.bucket.refill(self.now, terms);
-        Some((share, terms))
+        share.bucket.refill(self.now, params);
+        Some((share, params))
     }
 
     /// Handles the quota timer: refuses token requests that waited in the pool for too long, collects tokens if that is
--- a/crates/gateway/src/account/quota/bucket.rs
+++ b/crates/gateway/src/account/quota/bucket.rs
@@ -6,11 +6,11 @@
 
 /// The rate and capacity of a bucket. They are passed to each operation, since they change with the number of VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Params {
     /// Tokens added per second.
     pub rate: f64,
     /// Capacity in tokens.
-    pub most: f64,
+    pub capacity: f64,
 }
 
 /// A token bucket. It starts empty, since a process that starts with a full bucket would ignore what the process before
@@ -34,15 +34,15 @@
     }
 
     /// Adds the tokens since the last refill, up to the capacity. A balance above the capacity is kept.
-    pub fn refill(&mut self, now: Instant, terms: Terms) {
-        let added = terms.rate * now.since(self.refilled).as_secs_f64();
+    pub fn refill(&mut self, now: Instant, params: Params) {
+        let added = params.rate * now.since(self.refilled).as_secs_f64();
         self.refilled = self.refilled.max(now);
-        self.balance = (self.balance + added).min(terms.most.max(self.balance));
+        self.balance = (self.balance + added).min(params.capacity.max(self.balance));
     }
 
     /// Drops the tokens above the capacity.
-    pub fn truncate(&mut self, terms: Terms) {
-        self.balance = self.balance.min(terms.most);
+    pub fn truncate(&mut self, params: Params) {
+        self.balance = self.balance.min(params.capacity);
     }
 
     /// The number of tokens; negative while tokens are owed.
@@ -69,8 +69,8 @@
 
     /// The number of whole tokens that can be added up to the capacity.
     #[must_use]
-    pub fn free_capacity(&self, terms: Terms) -> Tokens {
-        whole(terms.most - self.balance)
+    pub fn free_capacity(&self, params: Params) -> Tokens {
+        whole(params.capacity - self.balance)
     }
 
     /// Takes tokens even if there are too few, which makes the balance negative.
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -94,8 +94,8 @@
     /// Adds unused tokens of one request to this VM's share, also where the request costs more than the share's
     /// capacity.
     fn return_tokens(&mut self, account: &Tenant, tokens: Tokens) {
-        if let Some((share, terms)) = self.share(account) {
-            let most = terms.most.max(tokens.as_f64());
+        if let Some((share, params)) = self.share(account) {
+            let most = params.capacity.max(tokens.as_f64());
             share.bucket.add(tokens, most);
         }
     }
@@ -115,14 +115,14 @@
         };
         state.phase = Phase::Charging;
         let tokens = state.cost;
-        let Some((share, terms)) = self.share(account) else {
+        let Some((share, params)) = self.share(account) else {
             return;
         };
         let token_request = TokenRequest {
             account: account.clone(),
             number,
             tokens,
-            max_extra: share.bucket.free_capacity(terms),
+            max_extra: share.bucket.free_capacity(params),
         };
         let pending = PendingRequest {
             request,
@@ -202,7 +202,7 @@
     /// Handles the pool owner's answer to a token request of this VM.
     pub(crate) fn handle_token_grant(&mut self, grant: &TokenGrant, out: &mut Effects) {
         let now = self.now;
-        let Some((share, terms)) = self.share(&grant.account) else {
+        let Some((share, params)) = self.share(&grant.account) else {
             return;
         };
         let Some(pending) = share.pending.remove(&grant.number) else {
@@ -213,7 +213,7 @@
         } = pending;
         match grant.answer {
             Ok(more) => {
-                share.bucket.add(more, terms.most);
+                share.bucket.add(more, params.capacity);
                 // The caller may have left in the meantime.
                 if self.in_flight.contains_key(&request) {
                     self.admit_charged(request, out);
--- a/crates/gateway/src/account/quota/pool.rs
+++ b/crates/gateway/src/account/quota/pool.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::{Tenant, Vm};
 use dahliastile_core::time::{Instant, Span};
 
-use super::bucket::{Bucket, Terms, wait};
+use super::bucket::{Bucket, Params, wait};
 use super::{TokenGrant, TokenRequest};
 use crate::account::Tokens;
 
@@ -54,7 +54,7 @@
     /// The tokens of the pool. The bucket is not refilled at a rate; tokens come from collections only.
     bucket: Bucket,
     /// The rate of the account, and the capacity of the pool.
-    terms: Terms,
+    params: Params,
     /// The token requests that wait, in order of arrival.
     queue: VecDeque<QueuedRequest>,
     /// The time at which the pool was created.
@@ -89,12 +89,12 @@
 impl Pools {
     /// Applies the limits of a new configuration: removes the pools of accounts without a limit, and drops tokens
     /// that no longer fit into the others.
-    pub(crate) fn apply_limits(&mut self, terms: impl Fn(&Tenant) -> Option<Terms>) {
+    pub(crate) fn apply_limits(&mut self, params: impl Fn(&Tenant) -> Option<Params>) {
         self.by_account.retain(|account, pool| {
-            let terms = terms(account);
-            pool.terms = terms.unwrap_or(pool.terms);
-            pool.bucket.truncate(pool.terms);
-            terms.is_some()
+            let params = params(account);
+            pool.params = params.unwrap_or(pool.params);
+            pool.bucket.truncate(pool.params);
+            params.is_some()
         });
     }
 
@@ -104,7 +104,7 @@
         now: Instant,
         from: Vm,
         token_request: TokenRequest,
-        terms: Terms,
+        params: Params,
         vms: usize,
         out: &mut Vec<Answer>,
     ) {
@@ -113,7 +113,7 @@
             .entry(token_request.account.clone())
             .or_insert(Pool {
                 bucket: Bucket::new(now),
-                terms,
+                params,
                 queue: VecDeque::new(),
                 created: now,
                 last_request: now,
@@ -125,7 +125,7 @@
             pool.last_collected = None;
         }
         pool.last_request = now;
-        pool.terms = terms;
+        pool.params = params;
         if pool.is_worth_queueing(&token_request) {
             let deadline = now + collection_interval(vms) + ROUND_TRIP;
             pool.queue.push_back(QueuedRequest {
@@ -244,12 +244,12 @@
     fn add(&mut self, tokens: Tokens, out: &mut Vec<Answer>) {
         self.bucket.add(tokens, f64::MAX);
         self.serve_queue(out);
-        self.bucket.truncate(self.terms);
+        self.bucket.truncate(self.params);
     }
 
     /// Whether the pool is below the low watermark.
     fn is_low(&self) -> bool {
-        self.bucket.balance() < self.terms.most * LOW_WATERMARK
+        self.bucket.balance() < self.params.capacity * LOW_WATERMARK
     }
 
     /// Grants tokens to the waiting token requests in order, as long as there are enough for the first.
@@ -261,13 +261,13 @@
         }) = self.queue.front()
         {
             // A full pool serves a request for more than its capacity, and its balance becomes negative.
-            if self.bucket.balance() < token_request.tokens.as_f64().min(self.terms.most) {
+            if self.bucket.balance() < token_request.tokens.as_f64().min(self.params.capacity) {
                 return;
             }
             self.bucket.take_unchecked(token_request.tokens);
             let more = self
                 .bucket
-                .take_above(self.terms.most * RESERVE, token_request.max_extra);
+                .take_above(self.params.capacity * RESERVE, token_request.max_extra);
             out.push((from.clone(), token_request.answer(Ok(more))));
             self.queue.pop_front();
         }
@@ -277,7 +277,7 @@
     /// of all requests that were refused before.
     fn refuse(&mut self, now: Instant, token_request: &TokenRequest) -> TokenGrant {
         let start = self.promised_until.max(now);
-        let end = start + wait(token_request.tokens.as_f64(), self.terms.rate);
+        let end = start + wait(token_request.tokens.as_f64(), self.params.rate);
         self.promised_until = end.min(now + MAX_RETRY_AFTER);
         token_request.answer(Err(self
             .promised_until
--- a/crates/gateway/src/account/quota/pool_owner.rs
+++ b/crates/gateway/src/account/quota/pool_owner.rs
@@ -29,14 +29,14 @@
             // The two VMs have different versions of the configuration. The sender asks another VM after its timeout.
             return;
         };
-        let terms = Allowance::new(share.limit, &self.settings.tuning).pool();
+        let params = Allowance::new(share.limit, &self.settings.tuning).pool();
         let mut answers = Vec::new();
         let pools = &mut self.quota.pools;
         pools.request(
             self.now,
             from.clone(),
             token_request,
-            terms,
+            params,
             vms,
             &mut answers,
         );
--- a/crates/gateway/src/request/notice/rate_limiter.rs
+++ b/crates/gateway/src/request/notice/rate_limiter.rs
@@ -4,7 +4,7 @@
 
 use super::Rate;
 use crate::account::Tokens;
-use crate::account::quota::bucket::{Bucket, Terms, wait};
+use crate::account::quota::bucket::{Bucket, Params, wait};
 
 /// Upper bound on the tokens in the bucket. An adapter that is not loaded takes three: to unload another
 /// adapter, to load it, and for the request.
@@ -43,7 +43,7 @@
 
     /// Sets the rate from an answer of the server.
     pub(crate) fn set_rate(&mut self, now: Instant, rate: Rate) {
-        self.bucket.refill(now, self.terms());
+        self.bucket.refill(now, self.params());
         self.rate = rate;
         self.confirmed_at = now;
     }
@@ -61,13 +61,13 @@
     /// Returns the tokens in the bucket.
     pub(crate) fn available(&self, now: Instant) -> f64 {
         let mut bucket = self.bucket;
-        bucket.refill(now, self.terms());
+        bucket.refill(now, self.params());
         bucket.balance()
     }
 
     /// Takes a token, and returns whether there was one.
     pub(crate) fn try_take(&mut self, now: Instant) -> bool {
-        self.bucket.refill(now, self.terms());
+        self.bucket.refill(now, self.params());
         self.bucket.take(Tokens(1))
     }
 
@@ -81,10 +81,10 @@
         self.promised_until.since(now)
     }
 
-    fn terms(&self) -> Terms {
-        Terms {
+    fn params(&self) -> Params {
+        Params {
             rate: self.rate(),
-            most: BURST,
+            capacity: BURST,
         }
     }
 }
