--- a/crates/gateway/src/account/quota/bucket.rs
+++ b/crates/gateway/src/account/quota/bucket.rs
@@ -94,7 +94,7 @@
 /// The time in which `tokens` tokens are added at `rate` tokens per second; the longest possible span for a rate of 0.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-pub fn wait(tokens: f64, rate: f64) -> Span {
+pub fn time_until_available(tokens: f64, rate: f64) -> Span {
     if rate <= 0.0 {
         return Span(u64::MAX);
     }
--- a/crates/gateway/src/account/quota/pool.rs
+++ b/crates/gateway/src/account/quota/pool.rs
@@ -6,7 +6,7 @@
 use dahliastile_core::id::{Tenant, Vm};
 use dahliastile_core::time::{Instant, Span};
 
-use super::bucket::{Bucket, Params, wait};
+use super::bucket::{Bucket, Params, time_until_available};
 use super::{TokenGrant, TokenRequest};
 use crate::account::Tokens;
 
@@ -277,7 +277,7 @@
     /// of all requests that were refused before.
     fn refuse(&mut self, now: Instant, token_request: &TokenRequest) -> TokenGrant {
         let start = self.promised_until.max(now);
-        let end = start + wait(token_request.tokens.as_f64(), self.params.rate);
+        let end = start + time_until_available(token_request.tokens.as_f64(), self.params.rate);
         self.promised_until = end.min(now + MAX_RETRY_AFTER);
         token_request.answer(Err(self
             .promised_until
--- a/crates/gateway/src/request/notice/rate_limiter.rs
+++ b/crates/gateway/src/request/notice/rate_limiter.rs
@@ -4,7 +4,7 @@
 
 use super::Rate;
 use crate::account::Tokens;
-use crate::account::quota::bucket::{Bucket, Params, wait};
+use crate::account::quota::bucket::{Bucket, Params, time_until_available};
 
 /// Upper bound on the tokens in the bucket. An adapter that is not loaded takes three: to unload another
 /// adapter, to load it, and for the request.
@@ -74,8 +74,8 @@
     /// Returns how long to wait for a token, and promises that token: it comes after those of all earlier
     /// calls.
     pub(crate) fn reserve(&mut self, now: Instant) -> Span {
-        let one = wait(1.0, self.rate());
-        let next = wait(1.0 - self.available(now), self.rate());
+        let one = time_until_available(1.0, self.rate());
+        let next = time_until_available(1.0 - self.available(now), self.rate());
         self.promised_until = (self.promised_until + one).max(now + next);
         self.promised_until = self.promised_until.min(now + MAX_WAIT);
         self.promised_until.since(now)
--- a/crates/gateway/src/scheduler/forecast.rs
+++ b/crates/gateway/src/scheduler/forecast.rs
@@ -15,7 +15,7 @@
 use super::load::SLOT_WAIT;
 use super::residency::Residency;
 use super::scheduled_request::{ScheduledRequest, VmRequestId};
-use crate::account::quota::bucket::wait;
+use crate::account::quota::bucket::time_until_available;
 
 /// A wait that exceeds every deadline.
 const UNBOUNDED_WAIT: Span = Span::from_secs(3_600);
@@ -106,7 +106,7 @@
             WaitReason::Room | WaitReason::Copy | WaitReason::Coming => 1.0,
             WaitReason::Load | WaitReason::Engine => f64::from(CALLS_PER_LOAD),
         };
-        wait(-self.available, self.rate)
+        time_until_available(-self.available, self.rate)
     }
 }
 
