--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -29,13 +29,13 @@
 impl RouteKind {
     /// Whether a request that may have run can be retried.
     #[must_use]
-    pub const fn idempotent(self) -> bool {
+    pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Resumable)
     }
 
     /// Whether the answer is an event stream.
     #[must_use]
-    pub const fn stream(self) -> bool {
+    pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 }
--- a/crates/gateway/src/request/state.rs
+++ b/crates/gateway/src/request/state.rs
@@ -276,7 +276,7 @@
             account: state.account.as_ref().map(|account| account.name.clone()),
             version,
             priority: state.priority,
-            stream: state.route.kind.stream(),
+            stream: state.route.kind.is_stream(),
             resumable: state.route.kind == RouteKind::Resumable,
         };
         let waited = self.now.since(state.arrived);
--- a/crates/gateway/src/request/state/failure.rs
+++ b/crates/gateway/src/request/state/failure.rs
@@ -132,7 +132,7 @@
         };
         let kind = state.route.kind;
         let may_rerun = ran == Execution::No
-            || kind.idempotent() && state.execution_count < state.route.attempts;
+            || kind.is_idempotent() && state.execution_count < state.route.attempts;
         let answer_cut = answer_started && kind != RouteKind::Resumable && kind != RouteKind::Safe;
         let in_time =
             state.deadline.since(self.now) > MIN_TIME_TO_RETRY && state.send_count < MAX_SENDS;
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -93,7 +93,7 @@
         timeout: Span::from_millis(timeout_ms),
         objective: Span::from_millis(1_000),
         pause: Span::from_millis(400),
-        caller_timeout: Span::from_millis(if kind.stream() { 4_000 } else { timeout_ms }),
+        caller_timeout: Span::from_millis(if kind.is_stream() { 4_000 } else { timeout_ms }),
         priority,
         public: false,
         attempts,
