--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -114,7 +114,7 @@
             batch: 64,
             tokens: 120_000,
             memory_mb: 66_000.0,
-            places: 5,
+            adapter_slots: 5,
             loads_per_s: 20.0,
             models: vec![Model {
                 name: "base".into(),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -102,7 +102,7 @@
     /// Memory for the weights of base models and adapters in megabytes.
     pub memory_mb: f64,
     /// Number of adapter slots: limit on the adapters resident at one engine.
-    pub places: usize,
+    pub adapter_slots: usize,
     /// Loads of base models that the weight store serves per second, over all engines.
     pub loads_per_s: f64,
     /// The base models.
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -152,7 +152,7 @@
             batch: 1,
             tokens: 0,
             memory_mb: 0.0,
-            places: 0,
+            adapter_slots: 0,
             loads_per_s: 0.0,
             models: Vec::new(),
         });
@@ -474,10 +474,13 @@
         let mut violations = Vec::new();
         for (server, engine) in &self.engines {
             let held = engine.occupied_slots();
-            if held > self.engine_spec.places && self.engine_spec.places > 0 && engine.state_known {
+            if held > self.engine_spec.adapter_slots
+                && self.engine_spec.adapter_slots > 0
+                && engine.state_known
+            {
                 violations.push(format!(
                     "{server} holds {held} adapters of {}",
-                    self.engine_spec.places
+                    self.engine_spec.adapter_slots
                 ));
             }
             let running = self.requests.at_server(server).len();
--- a/crates/gateway/src/scheduler/capacity.rs
+++ b/crates/gateway/src/scheduler/capacity.rs
@@ -157,8 +157,8 @@
         if !self.accepts_loads(now, engine, model) {
             return None;
         }
-        let has_free_slot =
-            engine.slots.len() < self.engine_spec.places && self.has_memory_for(engine, model);
+        let has_free_slot = engine.slots.len() < self.engine_spec.adapter_slots
+            && self.has_memory_for(engine, model);
         let (victim, loss) = if has_free_slot {
             (None, Span::ZERO)
         } else {
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -299,7 +299,7 @@
             .index
             .service(state.service.as_str())
             .and_then(|config| config.engine.as_ref());
-        let slots = engine_spec.map_or(0, |spec| spec.places);
+        let slots = engine_spec.map_or(0, |spec| spec.adapter_slots);
         let Some(client) = self.scheduler_clients.get_mut(&state.service) else {
             return;
         };
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -65,7 +65,7 @@
         batch: 64,
         tokens: 120_000,
         memory_mb: 66_500.0,
-        places: 5,
+        adapter_slots: 5,
         loads_per_s: 2.9,
         models: vec![Model {
             name: MODEL.into(),
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -372,7 +372,7 @@
 
     /// Adds a server and its entry.
     pub fn add_server(&mut self, id: &str, number: usize, is_engine: bool) {
-        let engine = Engine::new(id, is_engine, setup::engine_config().places);
+        let engine = Engine::new(id, is_engine, setup::engine_config().adapter_slots);
         let backend = Backend {
             service: name(if is_engine { ENGINES } else { PLAIN }),
             address: setup::address(if is_engine { 2 } else { 3 }, number),
--- a/crates/gateway/tests/support/world/crash.rs
+++ b/crates/gateway/tests/support/world/crash.rs
@@ -188,7 +188,7 @@
 
     /// Adds a server in place of a crashed one, with the crashed one's entry except for the incarnation.
     pub(super) fn add_replacement(&mut self, id: &str, is_engine: bool, backend: &Backend) {
-        let engine = Engine::new(id, is_engine, engine_config().places);
+        let engine = Engine::new(id, is_engine, engine_config().adapter_slots);
         let backend = Backend {
             start: Some(engine.incarnation),
             ..backend.clone()
