--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -154,7 +154,7 @@
                 zone: format!("z{}", number % 6).parse().unwrap(),
                 slots: 64,
                 ready: true,
-                bases: vec!["base".into()],
+                base_models: vec!["base".into()],
                 start: None,
             };
             fleet.scheduler.update_server(&server, &Arc::new(backend));
--- a/crates/gateway/src/cluster/snapshot.rs
+++ b/crates/gateway/src/cluster/snapshot.rs
@@ -70,7 +70,7 @@
     /// Whether it accepts new work.
     pub ready: bool,
     /// The names of its resident base models.
-    pub bases: Vec<Arc<str>>,
+    pub base_models: Vec<Arc<str>>,
     /// The incarnation of its process, if the deployment reports incarnations. A later start may have a lower
     /// number, since clocks step: numbers only distinguish starts.
     pub start: Option<Incarnation>,
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -196,7 +196,9 @@
     /// written late, so one of an earlier incarnation may follow one of a later; the engine's report shows
     /// which of them is current.
     pub(crate) fn update_backend(&mut self, backend: &Arc<Backend>) -> bool {
-        if backend.bases != self.backend.bases && backend.bases != self.base_models {
+        if backend.base_models != self.backend.base_models
+            && backend.base_models != self.base_models
+        {
             self.invalidate();
         }
         let is_other_start =
--- a/crates/gateway/tests/size.rs
+++ b/crates/gateway/tests/size.rs
@@ -177,7 +177,7 @@
     let mut loading = report(&lost);
     loading.busy = true;
     let other = Backend {
-        bases: vec!["other".into()],
+        base_models: vec!["other".into()],
         ..(*setup::backend(0)).clone()
     };
     service.scheduler.update_server(&lost, &Arc::new(other));
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -185,7 +185,7 @@
         zone: zone(number),
         slots: 64,
         ready: true,
-        bases: Vec::new(),
+        base_models: Vec::new(),
         start: Some(Incarnation(1)),
     })
 }
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -379,7 +379,7 @@
             zone: setup::zone(number),
             slots: if is_engine { 64 } else { 6 },
             ready: true,
-            bases: engine
+            base_models: engine
                 .report(self.now)
                 .models
                 .into_iter()
