--- a/crates/gateway/src/cluster/candidacy.rs
+++ b/crates/gateway/src/cluster/candidacy.rs
@@ -181,7 +181,8 @@
             .scheduler_clients
             .get(service)
             .is_some_and(|client| client.silent);
-        let has_min_tenure = self.now.since(self.leaderships.changed(service)) >= MIN_TENURE;
+        let has_min_tenure =
+            self.now.since(self.leaderships.holder_changed_at(service)) >= MIN_TENURE;
         match holder.vm == self.settings.vm {
             true if holder.incarnation != self.settings.incarnation => {
                 if self.has_stronger_peer() {
--- a/crates/gateway/src/cluster/leadership.rs
+++ b/crates/gateway/src/cluster/leadership.rs
@@ -77,7 +77,7 @@
 
 impl State {
     /// Returns when the holder of a leadership last changed; the start of time if this VM has seen no change.
-    pub(crate) fn changed(&self, service: &Service) -> Instant {
+    pub(crate) fn holder_changed_at(&self, service: &Service) -> Instant {
         self.holder_changes
             .get(service)
             .copied()
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -374,7 +374,7 @@
             format!("service={service} vm={:?} why={reason}", client.holder),
         );
         self.place_waiting_unscheduled(service, out);
-        let tenure_end = self.leaderships.changed(service) + MIN_TENURE;
+        let tenure_end = self.leaderships.holder_changed_at(service) + MIN_TENURE;
         self.timers.set(tenure_end, Timer::Leadership);
         self.update_candidacies(out);
     }
