--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns the VMs that count as alive.
-    pub(crate) fn present(&self, now: Instant) -> impl Iterator<Item = &Vm> {
+    pub(crate) fn live_vms(&self, now: Instant) -> impl Iterator<Item = &Vm> {
         let is_alive = move |peer: &Peer| {
             peer.is_listed
                 || peer.down_since.is_none() && now.since(peer.heard_at) < UNLISTED_TIMEOUT
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -217,7 +217,7 @@
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Vm> {
         let me = &self.settings.vm;
         self.membership
-            .present(self.now)
+            .live_vms(self.now)
             .filter(move |vm| *vm != me)
     }
 
