--- a/crates/gateway/src/cluster/replication.rs
+++ b/crates/gateway/src/cluster/replication.rs
@@ -35,8 +35,8 @@
         let batch = self.new_batch(since, self.watch.cursor.unwrap_or(since), changes);
         self.send(from, Message::Replicate(batch), out);
         if since == 0 {
-            self.tell_quarantines(from, out);
-            self.tell_notices(from, out);
+            self.send_quarantines(from, out);
+            self.send_notices(from, out);
         }
     }
 
--- a/crates/gateway/src/request/notice.rs
+++ b/crates/gateway/src/request/notice.rs
@@ -192,7 +192,7 @@
     }
 
     /// Sends the notices that concern all VMs to a VM that has started.
-    pub(crate) fn tell_notices(&self, to: &Vm, out: &mut Effects) {
+    pub(crate) fn send_notices(&self, to: &Vm, out: &mut Effects) {
         for (server, notice) in &self.notices.by_server {
             for message in notice.messages_for_all(server) {
                 self.send(to, message, out);
--- a/crates/gateway/src/request/quarantine.rs
+++ b/crates/gateway/src/request/quarantine.rs
@@ -288,7 +288,7 @@
     }
 
     /// Informs a VM that knows no entries yet about all quarantined requests, the most recent first.
-    pub(crate) fn tell_quarantines(&self, vm: &Vm, out: &mut Effects) {
+    pub(crate) fn send_quarantines(&self, vm: &Vm, out: &mut Effects) {
         self.send_quarantined(vm, self.quarantine.quarantined.newest_first(), out);
     }
 
