--- a/crates/gateway/tests/rest.rs
+++ b/crates/gateway/tests/rest.rs
@@ -18,7 +18,7 @@
 
 fn check_cooldowns(world: &World, server: &str) {
     let max_arrivals = world.max_arrivals_in_cooldown(server);
-    let cooldowns = world.notices.rests.len();
+    let cooldowns = world.notices.cooldowns.len();
     assert!(cooldowns > 0, "no server asked for a cooldown");
     assert!(
         max_arrivals <= ALLOWED,
@@ -49,7 +49,7 @@
 
 /// Returns the number of requests that servers rejected for a cooldown since a time.
 fn count_rejected(world: &World, since: Instant) -> usize {
-    let cooldowns = world.notices.rests.iter();
+    let cooldowns = world.notices.cooldowns.iter();
     cooldowns.filter(|cooldown| cooldown.at >= since).count()
 }
 
@@ -214,7 +214,7 @@
                 "seed {seed} {server}: {max_arrivals} requests in a cooldown"
             );
         }
-        assert!(!series.world.notices.rests.is_empty(), "seed {seed}");
+        assert!(!series.world.notices.cooldowns.is_empty(), "seed {seed}");
         series.world.check_invariants();
     }
 }
--- a/crates/gateway/tests/support/world/notice.rs
+++ b/crates/gateway/tests/support/world/notice.rs
@@ -82,7 +82,7 @@
     /// When each incarnation of a VM was first told by a server that the server leaves.
     leaving_told_at: BTreeMap<(usize, u64, Server), Instant>,
     /// The cooldowns that VMs were asked for.
-    pub rests: Vec<Cooldown>,
+    pub cooldowns: Vec<Cooldown>,
     /// The notice that each server attaches to its answers.
     announced: BTreeMap<Server, Notice>,
     /// The rate limits that each server has announced, with the times. `None` withdraws the limit.
@@ -179,7 +179,7 @@
                 .or_insert(self.now);
         }
         if let NoticeField::Present(span) = notice.cooldown {
-            self.notices.rests.push(Cooldown {
+            self.notices.cooldowns.push(Cooldown {
                 at: self.now,
                 span,
                 vm: (vm, incarnation),
@@ -347,7 +347,7 @@
         let server: Server = name(id);
         let cooldowns = self
             .notices
-            .rests
+            .cooldowns
             .iter()
             .filter(|cooldown| cooldown.server == server);
         let count = |cooldown: &Cooldown| {
