--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -329,7 +329,7 @@
             let lookup = |at: usize| request(&format!("q{}", at % 4), "/query/x", 2_000, None);
             numbers.extend(world.send_requests(4, Span::from_millis(25), lookup));
         }
-        if let Some(server) = world.up(false).get(at % 2) {
+        if let Some(server) = world.up_servers(false).get(at % 2) {
             world.crash_and_replace(&server.clone());
         }
     }
@@ -346,7 +346,7 @@
     let long_request = |at| long_request(at, 6, 6);
     for _ in 0..8 {
         world.send_requests(12, Span::from_millis(40), long_request);
-        for server in world.up(true) {
+        for server in world.up_servers(true) {
             world.reset_connections(&server);
         }
     }
--- a/crates/gateway/tests/support/world/crash.rs
+++ b/crates/gateway/tests/support/world/crash.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns the servers that are up: the engines, or the servers of the plain service.
-    pub fn up(&self, engines: bool) -> Vec<Server> {
+    pub fn up_servers(&self, engines: bool) -> Vec<Server> {
         let up = self.servers.values();
         let up = up.filter(|(e, _)| e.up && e.holds_adapters == engines);
         up.map(|(e, _)| e.id.clone()).collect()
