--- a/crates/gateway/benches/scheduler.rs
+++ b/crates/gateway/benches/scheduler.rs
@@ -114,7 +114,7 @@
             batch: 64,
             tokens: 120_000,
             memory_mb: 66_000.0,
-            places: 5,
+            adapter_slots: 5,
             loads_per_s: 20.0,
             models: vec![Model {
                 name: "base".into(),
@@ -154,7 +154,7 @@
                 zone: format!("z{}", number % 6).parse().unwrap(),
                 slots: 64,
                 ready: true,
-                bases: vec!["base".into()],
+                base_models: vec!["base".into()],
                 start: None,
             };
             fleet.scheduler.update_server(&server, &Arc::new(backend));
--- a/crates/gateway/src/account/quota/bucket.rs
+++ b/crates/gateway/src/account/quota/bucket.rs
@@ -7,11 +7,11 @@
 /// The rate and capacity of a bucket. Both change with the number of VMs, so each operation that needs them takes them
 /// as an argument.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Params {
     /// Tokens added per second.
     pub rate: f64,
     /// Capacity in tokens.
-    pub most: f64,
+    pub capacity: f64,
 }
 
 /// A token bucket. It starts empty, since a new process with a full bucket would grant tokens again that the VM's
@@ -35,15 +35,15 @@
     }
 
     /// Adds the tokens since the last refill, up to the capacity. A balance above the capacity is kept.
-    pub fn refill(&mut self, now: Instant, terms: Terms) {
-        let added = terms.rate * now.since(self.refilled).as_secs_f64();
+    pub fn refill(&mut self, now: Instant, params: Params) {
+        let added = params.rate * now.since(self.refilled).as_secs_f64();
         self.refilled = self.refilled.max(now);
-        self.balance = (self.balance + added).min(terms.most.max(self.balance));
+        self.balance = (self.balance + added).min(params.capacity.max(self.balance));
     }
 
     /// Drops the tokens above the capacity.
-    pub fn truncate(&mut self, terms: Terms) {
-        self.balance = self.balance.min(terms.most);
+    pub fn truncate(&mut self, params: Params) {
+        self.balance = self.balance.min(params.capacity);
     }
 
     /// Returns the number of tokens; negative while tokens are owed.
@@ -70,8 +70,8 @@
 
     /// Returns the number of whole tokens that fit into the free capacity.
     #[must_use]
-    pub fn free_capacity(&self, terms: Terms) -> Tokens {
-        floor_tokens(terms.most - self.balance)
+    pub fn free_capacity(&self, params: Params) -> Tokens {
+        floor_tokens(params.capacity - self.balance)
     }
 
     /// Takes tokens even if there are too few, which makes the balance negative.
@@ -96,7 +96,7 @@
 /// rate of 0.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-pub fn wait(tokens: f64, rate: f64) -> Span {
+pub fn time_until_available(tokens: f64, rate: f64) -> Span {
     if rate <= 0.0 {
         return Span(u64::MAX);
     }
--- a/crates/gateway/src/account/quota/charge.rs
+++ b/crates/gateway/src/account/quota/charge.rs
@@ -96,8 +96,8 @@
     /// Adds the unused tokens of one request to this VM's share, up to the share's capacity or the request's cost,
     /// whichever is larger.
     fn return_tokens(&mut self, account: &Tenant, tokens: Tokens) {
-        if let Some((share, terms)) = self.share(account) {
-            let max_balance = terms.most.max(tokens.as_f64());
+        if let Some((share, params)) = self.share(account) {
+            let max_balance = params.capacity.max(tokens.as_f64());
             share.bucket.add(tokens, max_balance);
         }
     }
@@ -118,14 +118,14 @@
         };
         state.phase = Phase::Charging;
         let tokens = state.cost;
-        let Some((share, terms)) = self.share(account) else {
+        let Some((share, params)) = self.share(account) else {
             return;
         };
         let token_request = TokenRequest {
             account: account.clone(),
             number,
             tokens,
-            max_extra: share.bucket.free_capacity(terms),
+            max_extra: share.bucket.free_capacity(params),
         };
         let pending = PendingRequest {
             request,
@@ -205,7 +205,7 @@
     /// Handles the pool owner's answer to a token request of this VM.
     pub(crate) fn handle_token_grant(&mut self, grant: &TokenGrant, out: &mut Effects) {
         let now = self.now;
-        let Some((share, terms)) = self.share(&grant.account) else {
+        let Some((share, params)) = self.share(&grant.account) else {
             return;
         };
         let Some(pending) = share.pending.remove(&grant.number) else {
@@ -216,7 +216,7 @@
         } = pending;
         match grant.answer {
             Ok(extra) => {
-                share.bucket.add(extra, terms.most);
+                share.bucket.add(extra, params.capacity);
                 // The caller may have left in the meantime.
                 if self.in_flight.contains_key(&request) {
                     self.admit_charged(request, out);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -29,13 +29,13 @@
 impl RouteKind {
     /// Returns whether a request that may have run can be retried.
     #[must_use]
-    pub const fn idempotent(self) -> bool {
+    pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Resumable)
     }
 
     /// Returns whether the answer is an event stream.
     #[must_use]
-    pub const fn stream(self) -> bool {
+    pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 }
@@ -102,7 +102,7 @@
     /// Memory for the weights of base models and adapters in megabytes.
     pub memory_mb: f64,
     /// Number of adapter slots: limit on the adapters resident at one engine.
-    pub places: usize,
+    pub adapter_slots: usize,
     /// Loads of base models that the weight store serves per second, over all engines.
     pub loads_per_s: f64,
     /// The base models.
--- a/crates/gateway/src/request/notice/rate_limiter.rs
+++ b/crates/gateway/src/request/notice/rate_limiter.rs
@@ -4,7 +4,7 @@
 
 use super::Rate;
 use crate::account::Tokens;
-use crate::account::quota::bucket::{Bucket, Terms, wait};
+use crate::account::quota::bucket::{Bucket, Params, time_until_available};
 
 /// Upper bound on the tokens in the bucket. An adapter that is not loaded takes three: to unload another
 /// adapter, to load it, and for the request.
@@ -43,7 +43,7 @@
 
     /// Sets the rate from an answer of the server.
     pub(crate) fn set_rate(&mut self, now: Instant, rate: Rate) {
-        self.bucket.refill(now, self.terms());
+        self.bucket.refill(now, self.params());
         self.rate = rate;
         self.confirmed_at = now;
     }
@@ -61,30 +61,30 @@
     /// Returns the tokens in the bucket.
     pub(crate) fn available(&self, now: Instant) -> f64 {
         let mut bucket = self.bucket;
-        bucket.refill(now, self.terms());
+        bucket.refill(now, self.params());
         bucket.balance()
     }
 
     /// Takes a token, and returns whether there was one.
     pub(crate) fn try_take(&mut self, now: Instant) -> bool {
-        self.bucket.refill(now, self.terms());
+        self.bucket.refill(now, self.params());
         self.bucket.take(Tokens(1))
     }
 
     /// Returns how long to wait for a token, and promises that token: it comes after those of all earlier
     /// calls.
     pub(crate) fn reserve(&mut self, now: Instant) -> Span {
-        let one = wait(1.0, self.rate());
-        let next = wait(1.0 - self.available(now), self.rate());
+        let one = time_until_available(1.0, self.rate());
+        let next = time_until_available(1.0 - self.available(now), self.rate());
         self.promised_until = (self.promised_until + one).max(now + next);
         self.promised_until = self.promised_until.min(now + MAX_WAIT);
         self.promised_until.since(now)
     }
 
-    fn terms(&self) -> Terms {
-        Terms {
+    fn params(&self) -> Params {
+        Params {
             rate: self.rate(),
-            most: BURST,
+            capacity: BURST,
         }
     }
 }
--- a/crates/gateway/src/scheduler/client.rs
+++ b/crates/gateway/src/scheduler/client.rs
@@ -300,7 +300,7 @@
             .index
             .service(state.service.as_str())
             .and_then(|config| config.engine.as_ref());
-        let slots = engine_spec.map_or(0, |spec| spec.places);
+        let slots = engine_spec.map_or(0, |spec| spec.adapter_slots);
         let Some(client) = self.scheduler_clients.get_mut(&state.service) else {
             return;
         };
@@ -375,7 +375,7 @@
             format!("service={service} vm={:?} why={reason}", client.holder),
         );
         self.place_waiting_unscheduled(service, out);
-        let tenure_end = self.leaderships.changed(service) + MIN_TENURE;
+        let tenure_end = self.leaderships.holder_changed_at(service) + MIN_TENURE;
         self.timers.set(tenure_end, Timer::Leadership);
         self.update_candidacies(out);
     }
--- a/crates/gateway/src/scheduler/engine.rs
+++ b/crates/gateway/src/scheduler/engine.rs
@@ -197,7 +197,9 @@
     /// written late, so the entry of an earlier incarnation may follow that of a later one; the engine's report
     /// shows which incarnation is current.
     pub(crate) fn update_backend(&mut self, backend: &Arc<Backend>) -> bool {
-        if backend.bases != self.backend.bases && backend.bases != self.base_models {
+        if backend.base_models != self.backend.base_models
+            && backend.base_models != self.base_models
+        {
             self.invalidate();
         }
         let is_other_incarnation =
--- a/crates/gateway/tests/support/setup.rs
+++ b/crates/gateway/tests/support/setup.rs
@@ -65,7 +65,7 @@
         batch: 64,
         tokens: 120_000,
         memory_mb: 66_500.0,
-        places: 5,
+        adapter_slots: 5,
         loads_per_s: 2.9,
         models: vec![Model {
             name: MODEL.into(),
@@ -93,7 +93,7 @@
         timeout: Span::from_millis(timeout_ms),
         objective: Span::from_millis(1_000),
         pause: Span::from_millis(400),
-        caller_timeout: Span::from_millis(if kind.stream() { 4_000 } else { timeout_ms }),
+        caller_timeout: Span::from_millis(if kind.is_stream() { 4_000 } else { timeout_ms }),
         priority,
         public: false,
         attempts,
@@ -131,7 +131,7 @@
 }
 
 /// Returns what a request asks of an engine. The prompt and the output are in tokens.
-pub fn work(adapter: &str, prompt_tokens: u32, max_output_tokens: u32) -> InferenceSpec {
+pub fn inference_spec(adapter: &str, prompt_tokens: u32, max_output_tokens: u32) -> InferenceSpec {
     InferenceSpec {
         model: MODEL.into(),
         adapter: Some(adapter.into()),
@@ -143,7 +143,7 @@
 
 /// Returns a short request to an adapter, as most tests send.
 pub fn adapter_request(id: &str, adapter: &str) -> CallerRequest {
-    request(id, "/plan/x", 5_000, Some(work(adapter, 600, 15)))
+    request(id, "/plan/x", 5_000, Some(inference_spec(adapter, 600, 15)))
 }
 
 /// Returns request number `at` of a mixed load: three in four requests go to one of sixty adapters in turn,
@@ -185,7 +185,7 @@
         zone: zone(number),
         slots: 64,
         ready: true,
-        bases: Vec::new(),
+        base_models: Vec::new(),
         start: Some(Incarnation(1)),
     })
 }
--- a/crates/gateway/tests/support/world.rs
+++ b/crates/gateway/tests/support/world.rs
@@ -372,14 +372,14 @@
 
     /// Adds a server and its entry.
     pub fn add_server(&mut self, id: &str, number: usize, is_engine: bool) {
-        let engine = Engine::new(id, is_engine, setup::engine_config().places);
+        let engine = Engine::new(id, is_engine, setup::engine_config().adapter_slots);
         let backend = Backend {
             service: name(if is_engine { ENGINES } else { PLAIN }),
             address: setup::address(if is_engine { 2 } else { 3 }, number),
             zone: setup::zone(number),
             slots: if is_engine { 64 } else { 6 },
             ready: true,
-            bases: engine
+            base_models: engine
                 .report(self.now)
                 .models
                 .into_iter()
--- a/crates/gateway/tests/support/world/crash.rs
+++ b/crates/gateway/tests/support/world/crash.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns the servers that are up: the engines, or the servers of the plain service.
-    pub fn up(&self, engines: bool) -> Vec<Server> {
+    pub fn up_servers(&self, engines: bool) -> Vec<Server> {
         let up = self.servers.values();
         let up = up.filter(|(e, _)| e.up && e.holds_adapters == engines);
         up.map(|(e, _)| e.id.clone()).collect()
@@ -188,7 +188,7 @@
 
     /// Adds a server in place of a crashed one, with the crashed one's entry except for the incarnation.
     pub(super) fn add_replacement(&mut self, id: &str, is_engine: bool, backend: &Backend) {
-        let engine = Engine::new(id, is_engine, engine_config().places);
+        let engine = Engine::new(id, is_engine, engine_config().adapter_slots);
         let backend = Backend {
             start: Some(engine.incarnation),
             ..backend.clone()
